--- a/bench/policies.py
+++ b/bench/policies.py
@@ -56,7 +56,7 @@
     :param choose: the hash.
     """
     (service,) = snapshot.services.values()
-    limits = placement.build_limits(snapshot, service)
+    limits = placement.build_constraints(snapshot, service)
     # The choice depends on the names only; it is computed once for each set of nodes.
     known: dict[tuple[identity.NodeId, ...], dict[identity.ShardId, identity.NodeId]] = {}
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -214,7 +214,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(timer.run, clock)
         head = (await publish.read_head(store.table)).value_or(None)
-        order = publish.Order(
+        order = publish.PublishRequest(
             body=objects.encode_body(objects.ObjectSet(objects=entries)),
             base=identity.ConfigVersion(0) if head is None else publish.find_version(head),
             author=author,
--- a/src/ebonyvalve/platform/configuration.py
+++ b/src/ebonyvalve/platform/configuration.py
@@ -16,9 +16,9 @@
 Wait = typing.Annotated[float, msgspec.Meta(ge=0, le=MOST_WAIT_S)]
 Weight = typing.Annotated[float, msgspec.Meta(ge=-decoding.MOST_LOAD, le=decoding.MOST_LOAD)]
 KINDS = {
-    "idempotent": traffic.Repeat.IDEMPOTENT,
-    "download": traffic.Repeat.IDEMPOTENT,
-    ONCE: traffic.Repeat.AT_MOST_ONCE,
+    "idempotent": traffic.Repeatability.IDEMPOTENT,
+    "download": traffic.Repeatability.IDEMPOTENT,
+    ONCE: traffic.Repeatability.AT_MOST_ONCE,
 }
 
 
@@ -84,7 +84,7 @@
     resources: list[Resource]
 
 
-def decode(body: bytes) -> traffic.Traffic | list[str]:
+def decode(body: bytes) -> traffic.TrafficConfig | list[str]:
     """Return the configuration, or every reason for which it can't be applied.
 
     :param body: the operator's document.
@@ -139,7 +139,7 @@
             traffic.Share(service=identity.ServiceId(part.backend), weight=part.weight)
             for part in parts
         ),
-        repeat=KINDS[wire.type],
+        repeatability=KINDS[wire.type],
         timeout_s=wire.timeout_s,
         objective_s=wire.goal_s or wire.timeout_s,
         attempts=wire.attempts,
--- a/src/ebonyvalve/platform/daemon.py
+++ b/src/ebonyvalve/platform/daemon.py
@@ -172,7 +172,7 @@
         node=node,
         delivery=local,
         peers=pool.Pool(connect=sockets.connect, now=now, bound=512),
-        current=traffic.Current(),
+        current=traffic.CurrentTraffic(),
     )
     callers = front.Front(
         now=now,
@@ -305,7 +305,7 @@
     return outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=status)
 
 
-def find_limits(current: traffic.Current, _: identity.ServiceId) -> tuple[float, int]:
+def find_limits(current: traffic.CurrentTraffic, _: identity.ServiceId) -> tuple[float, int]:
     """Return the default deadline in seconds and the largest body in bytes.
 
     :param current: the configuration in force.
--- a/src/ebonyvalve/platform/news.py
+++ b/src/ebonyvalve/platform/news.py
@@ -66,7 +66,7 @@
     return zlib.compress(msgspec.msgpack.encode(told), level=1)
 
 
-def take(node: node_module.Node, current: traffic.Current, body: bytes) -> bool:
+def take(node: node_module.Node, current: traffic.CurrentTraffic, body: bytes) -> bool:
     """Apply what another node tells; return whether it could be read.
 
     :param node: the node.
@@ -92,7 +92,9 @@
     return True
 
 
-async def learn(node: node_module.Node, current: traffic.Current, connect: network.Connect) -> None:
+async def learn(
+    node: node_module.Node, current: traffic.CurrentTraffic, connect: network.Connect
+) -> None:
     """Ask other nodes for rows of the operator that they have and the store has not told here.
 
     :param node: the node.
@@ -110,7 +112,7 @@
 
 
 async def _ask_around(
-    node: node_module.Node, current: traffic.Current, connect: network.Connect
+    node: node_module.Node, current: traffic.CurrentTraffic, connect: network.Connect
 ) -> None:
     """Ask one node after the other until the rows are here, from wherever.
 
@@ -159,7 +161,7 @@
 
 async def _ask(
     node: node_module.Node,
-    current: traffic.Current,
+    current: traffic.CurrentTraffic,
     connect: network.Connect,
     teller: identity.NodeId,
 ) -> None:
--- a/src/ebonyvalve/platform/operator.py
+++ b/src/ebonyvalve/platform/operator.py
@@ -26,7 +26,9 @@
 MOST_REASONS = 4000
 
 
-async def follow(node: node_module.Node, current: traffic.Current, store: table.Store) -> None:
+async def follow(
+    node: node_module.Node, current: traffic.CurrentTraffic, store: table.Store
+) -> None:
     """Apply the operator's rows as they change, until cancelled.
 
     :param node: the node.
@@ -77,7 +79,7 @@
 
 def apply(
     node: node_module.Node,
-    current: traffic.Current,
+    current: traffic.CurrentTraffic,
     read: table.Rows,
     *,
     is_whole: bool,
@@ -135,7 +137,7 @@
     )
 
 
-def _apply_config(node: node_module.Node, current: traffic.Current, row: table.Row) -> None:
+def _apply_config(node: node_module.Node, current: traffic.CurrentTraffic, row: table.Row) -> None:
     decoded = configuration.decode(row.value)
     if isinstance(decoded, list):
         is_logged = node.refused == tuple(decoded)
--- a/src/ebonyvalve/platform/tool.py
+++ b/src/ebonyvalve/platform/tool.py
@@ -16,7 +16,7 @@
 
 from ebonyvalve.platform import configuration, sockets
 from ebonyvalve.process import decoding, http, identity, member, survey
-from ebonyvalve.version import outlook, traffic
+from ebonyvalve.version import impact, traffic
 
 Form = typing.TypeVar("Form")
 
@@ -37,14 +37,14 @@
     found = read(file)
     reasons = found if isinstance(found, list) else []
     changes: list[str] = []
-    before: traffic.Traffic | None = None
+    before: traffic.TrafficConfig | None = None
     if against is not None:
         in_force = read(against)
         if isinstance(in_force, list):
             reasons = [*reasons, *(f"in force, {reason}" for reason in in_force)]
         else:
             before = in_force
-    if isinstance(found, traffic.Traffic) and before is not None:
+    if isinstance(found, traffic.TrafficConfig) and before is not None:
         if found.version <= before.version:
             reasons = [f"version {found.version} is not above {before.version}, which is in force"]
         changes = traffic.list_changes(before, found)
@@ -63,7 +63,7 @@
     return REFUSED if reasons else DONE
 
 
-def read(file: pathlib.Path) -> traffic.Traffic | list[str]:
+def read(file: pathlib.Path) -> traffic.TrafficConfig | list[str]:
     """Return the configuration of a file, or every reason against it.
 
     :param file: the JSON document.
@@ -97,12 +97,12 @@
     changes: list[str] = []
     reasons: list[str] = []
     if evacuate is not None:
-        found = outlook.foresee_evacuation(seen, identity.ZoneId(evacuate))
+        found = impact.predict_evacuation(seen, identity.ZoneId(evacuate))
         changes, reasons = found.changes, found.reasons
     if file is not None and against is not None:
         after, before = read(file), read(against)
-        if isinstance(after, traffic.Traffic) and isinstance(before, traffic.Traffic):
-            found = outlook.foresee_split(seen, before, after)
+        if isinstance(after, traffic.TrafficConfig) and isinstance(before, traffic.TrafficConfig):
+            found = impact.predict_split(seen, before, after)
             changes, reasons = changes + found.changes, reasons + found.reasons
         for unread in (after, before):
             if isinstance(unread, list):
--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -48,7 +48,7 @@
     timer,
 )
 from ebonyvalve.request import exchange, front, handler, outcome, routing
-from ebonyvalve.version import insight, objects, placement, route
+from ebonyvalve.version import diagnostics, objects, placement, route
 
 log = logging.getLogger(__name__)
 
@@ -310,8 +310,10 @@
         with trio.move_on_after(STORE_CHECK_S):
             found = await node.edges.platform.table.read(ownership.HEAD_ROW)
             answers = isinstance(found, result.Success)
-            return insight.build_status(node.here, node.snapshot, owned, does_store_answer=answers)
-        return insight.build_status(node.here, node.snapshot, owned, does_store_answer=False)
+            return diagnostics.build_status(
+                node.here, node.snapshot, owned, does_store_answer=answers
+            )
+        return diagnostics.build_status(node.here, node.snapshot, owned, does_store_answer=False)
 
     def choose(
         service: identity.ServiceId, key: identity.KeyId
@@ -325,9 +327,9 @@
         return report.RouteKind(chosen.choice.value), chosen.node, chosen.reason.value
 
     return operator.Sources(
-        list_obstacles=lambda: insight.list_obstacles(node.here, node.snapshot),
+        list_obstacles=lambda: diagnostics.list_obstacles(node.here, node.snapshot),
         read_status=read_status,
-        explain=lambda service, key: insight.explain(
+        explain=lambda service, key: diagnostics.explain(
             node.here, node.snapshot, owned, service, key, choose
         ),
         render_metrics=functools.partial(metrics.render, node.metrics),
--- a/src/ebonyvalve/process/demo.py
+++ b/src/ebonyvalve/process/demo.py
@@ -189,7 +189,7 @@
     :param entries: the objects.
     :param clock: the timer service.
     """
-    order = publish.Order(
+    order = publish.PublishRequest(
         body=objects.encode_body(objects.ObjectSet(objects=entries)),
         base=identity.ConfigVersion(0),
         author="demo",
--- a/src/ebonyvalve/request/explanation.py
+++ b/src/ebonyvalve/request/explanation.py
@@ -25,10 +25,10 @@
         return [f"no route of configuration {config.version} has this host and path: 404"]
     lines = [
         f"route {route.name!r} of configuration {config.version}: prefix {route.prefix}, "
-        f"{route.repeat.value}, at most {route.attempts} targets, time-out {route.timeout_s:g} s, "
-        f"priority {route.priority}"
+        f"{route.repeatability.value}, at most {route.attempts} targets, "
+        f"time-out {route.timeout_s:g} s, priority {route.priority}"
     ]
-    for service, part in traffic.read_parts(route).items():
+    for service, part in traffic.compute_fractions(route).items():
         lines.append(f"service {service}: {100 * part:.0f}% of the requests")
         if not config.services[service].is_keyed:
             lines.extend(_explain_choice(entry.node, service))
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -57,7 +57,7 @@
     node: node_module.Node
     delivery: delivery.Delivery
     peers: pool.Pool
-    current: traffic.Current
+    current: traffic.CurrentTraffic
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -94,7 +94,7 @@
     if not pace.can_serve(node.behind, call.deadline_at_s - node.now()):
         return outcome.refuse(outcome.Reason.BEHIND)
     call.rules = exchange.Rules(
-        is_repeatable=route.repeat is traffic.Repeat.IDEMPOTENT,
+        is_repeatable=route.repeatability is traffic.Repeatability.IDEMPOTENT,
         attempts=route.attempts,
         priority=route.priority,
         objective_s=route.objective_s,
--- a/src/ebonyvalve/tool.py
+++ b/src/ebonyvalve/tool.py
@@ -123,7 +123,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class View:
+class MeshView:
     """The statuses of the nodes that answered, and the causes of the others' silence."""
 
     statuses: list[report.Status]
@@ -254,7 +254,7 @@
         if bool(directory) == (from_version > 0):
             environment.write_error("publish takes either a directory or --from VERSION")
             return ExitStatus.USAGE
-        request = Request(
+        request = PublishArguments(
             directories=[directory, *add] if directory else [],
             from_version=identity.ConfigVersion(from_version),
             base=None if base < 0 else identity.ConfigVersion(base),
@@ -341,7 +341,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Request:
+class PublishArguments:
     """The arguments of ``publish``."""
 
     directories: list[str]
@@ -555,7 +555,9 @@
     return ExitStatus.DONE if built.unwrap().is_safe else ExitStatus.REFUSED
 
 
-async def _publish(session: Session, services: platform.Platform, request: Request) -> ExitStatus:
+async def _publish(
+    session: Session, services: platform.Platform, request: PublishArguments
+) -> ExitStatus:
     head = await publish.read_head(services.table)
     if not isinstance(head, result.Success):
         return _fail(session, f"nothing was published: {head.failure()}")
@@ -572,7 +574,7 @@
         if session.is_json:
             _emit(session, PublishReport(plan=planned), [])
         return ExitStatus.DONE if planned.is_safe else ExitStatus.REFUSED
-    order = publish.Order(
+    order = publish.PublishRequest(
         body=objects.encode_body(chosen.objects),
         base=planned.base if request.base is None else request.base,
         author=_find_author(session.settings),
@@ -603,7 +605,7 @@
 
 
 async def _choose_objects(
-    session: Session, services: platform.Platform, request: Request
+    session: Session, services: platform.Platform, request: PublishArguments
 ) -> load.Loaded | ExitStatus:
     if request.directories:
         loaded = _load(request.directories)
@@ -672,7 +674,7 @@
         return result.Failure(f"the answer cannot be read: {error}")
 
 
-async def _fetch_view(session: Session) -> View:
+async def _fetch_view(session: Session) -> MeshView:
     """Ask every node for its status at the same time."""
     found: dict[identity.NodeId, result.Result[report.Status, str]] = {}
 
@@ -683,7 +685,7 @@
     async with trio.open_nursery() as nursery:
         for node, address in session.settings.nodes.items():
             nursery.start_soon(ask, node, address)
-    return View(
+    return MeshView(
         statuses=[
             found[node].unwrap()
             for node in sorted(found)
@@ -697,7 +699,7 @@
     )
 
 
-def find_best(view: View) -> report.Status | None:
+def find_authoritative_status(view: MeshView) -> report.Status | None:
     """Return the status that knows most: that of the coordinator of the highest term.
 
     :param view: the statuses.
@@ -709,12 +711,12 @@
     )
 
 
-def list_targets(view: View) -> list[check.Target] | None:
+def list_targets(view: MeshView) -> list[check.Target] | None:
     """Return the targets in service, or ``None`` if no node answered.
 
     :param view: the statuses.
     """
-    best = find_best(view)
+    best = find_authoritative_status(view)
     if best is None:
         return None
     return [
@@ -724,16 +726,16 @@
     ]
 
 
-def _find_preview(view: View) -> plan.Preview | None:
+def _find_preview(view: MeshView) -> plan.PreviewFunction | None:
     """Return a preview by placement if the owners of the shards are known."""
-    best, targets = find_best(view), list_targets(view)
+    best, targets = find_authoritative_status(view), list_targets(view)
     if best is None or not targets or not best.shards:
         return None
     owners = {shard.shard: shard.owner or None for shard in best.shards}
     return preview.build_preview(targets, owners)
 
 
-def list_versions(view: View) -> list[report.NodeVersion]:
+def list_versions(view: MeshView) -> list[report.NodeVersion]:
     """Return the configuration version in force at every node.
 
     VMs are replaced at any time, so the settings may list nodes that are gone and lack new ones.
@@ -746,7 +748,7 @@
         status.node: report.NodeVersion(node=status.node, version=status.config_version)
         for status in view.statuses
     }
-    best = find_best(view)
+    best = find_authoritative_status(view)
     if best is None or best.role is not report.Role.COORDINATOR:
         nodes |= {node.node: node for node in view.silent}
     else:
@@ -768,10 +770,10 @@
         await timer.wait_until(session.clock, timer.now(session.clock) + every_s)
 
 
-def _render_view(view: View) -> list[str]:
+def _render_view(view: MeshView) -> list[str]:
     lines = [line for status in view.statuses for line in report.render_status(status)]
     lines += [f"node {node.node}: {node.cause}" for node in view.silent]
-    best = find_best(view)
+    best = find_authoritative_status(view)
     if best is None:
         cause = "no node answers" if view.silent else "the settings list no nodes"
         return [*lines, cause]
--- a/src/ebonyvalve/version/insight.py
+++ b/src/ebonyvalve/version/diagnostics.py
@@ -18,7 +18,7 @@
 from ebonyvalve.version import route
 
 # A lease that never ends, as in a test, is shown with this time.
-MAX_LEFT_S = 3600.0
+MAX_LEASE_LEFT_S = 3600.0
 
 
 def list_obstacles(here: site.Site, snapshot: route.Snapshot | None) -> list[str]:
@@ -65,7 +65,7 @@
         coordinator=node.coordinator,
         term=node.term,
         lease=_find_lease(node, left_s),
-        lease_left_ms=int(min(max(left_s, 0.0), MAX_LEFT_S) * 1000),
+        lease_left_ms=int(min(max(left_s, 0.0), MAX_LEASE_LEFT_S) * 1000),
         config_version=node.config_version,
         does_store_answer=does_store_answer,
         targets=[_describe_target(here, member, owned) for member in node.members.values()],
@@ -150,7 +150,7 @@
     return found
 
 
-Choose = collections.abc.Callable[
+ChooseRoute = collections.abc.Callable[
     [identity.ServiceId, identity.KeyId], tuple[report.RouteKind, identity.NodeId | None, str]
 ]
 
@@ -161,7 +161,7 @@
     owned: ownership.State,
     service: identity.ServiceId,
     key: identity.KeyId,
-    choose: Choose,
+    choose_route: ChooseRoute,
 ) -> report.Explanation | None:
     """Return who owns a key, why, and how a request for it would be routed now.
 
@@ -179,7 +179,7 @@
     shard = route.find_shard(found, key, node.routes) if found.is_keyed else None
     entry = None if shard is None else node.routes.get(shard)
     owner = None if entry is None or entry.owner == lease.NOBODY else entry.owner
-    kind, route_node, reason = choose(service, key)
+    kind, route_node, reason = choose_route(service, key)
     # Only the coordinator knows since when and why.
     causes = {} if owned.duty is None else owned.duty.causes
     since = None if shard is None else causes.get(shard)
--- a/src/ebonyvalve/version/forecast.py
+++ b/src/ebonyvalve/version/forecast.py
@@ -14,11 +14,11 @@
 # RETURN_S and SMALL_GAP_S.
 QUIET_S = placement.RETURN_S + placement.SMALL_GAP_S + 4.0
 # Ends the simulation of a configuration under which the assignment does not come to rest.
-MOST_ROUNDS = 300
+MAX_ROUNDS = 300
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Preview:
+class Forecast:
     """The difference between the assignments that two configurations lead to.
 
     ``moves`` has one entry for each shard with another owner. ``loads_before`` and ``loads_after``
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Settled:
+class StableAssignment:
     """The assignment that a configuration leads to."""
 
     owners: dict[identity.ShardId, identity.NodeId | None]
@@ -52,7 +52,7 @@
     is_final: bool
 
 
-def settle(snapshot: route.Snapshot, view: assignment.View) -> Settled:
+def simulate(snapshot: route.Snapshot, view: assignment.View) -> StableAssignment:
     """Apply plans to a view under constant load until nothing is planned any more.
 
     Cold targets are taken to be warm, as the result is that after their slow start.
@@ -78,7 +78,7 @@
     place = placement.build_place(snapshot, placement.State())
     reasons: dict[identity.ShardId, assignment.MoveReason] = {}
     elapsed_s = takes_s = 0.0
-    for _ in range(MOST_ROUNDS):
+    for _ in range(MAX_ROUNDS):
         current = dataclasses.replace(
             view,
             members=members,
@@ -107,7 +107,7 @@
             takes_s = elapsed_s
         elif elapsed_s - takes_s >= QUIET_S:
             break
-    return Settled(
+    return StableAssignment(
         owners=owners,
         loads=loads,
         reasons=reasons,
@@ -116,7 +116,7 @@
     )
 
 
-def sum_by_node(settled: Settled) -> dict[identity.NodeId, float]:
+def sum_by_node(settled: StableAssignment) -> dict[identity.NodeId, float]:
     """Return the load of each owner.
 
     :param settled: an assignment.
@@ -129,7 +129,7 @@
 
 
 def list_zones_at_risk(
-    snapshot: route.Snapshot, view: assignment.View, settled: Settled
+    snapshot: route.Snapshot, view: assignment.View, settled: StableAssignment
 ) -> list[tuple[identity.ServiceId, identity.ZoneId]]:
     """Return the zones whose loss leaves a service too few slots for its load.
 
@@ -141,7 +141,7 @@
     for name, service in sorted(snapshot.services.items()):
         if not service.is_keyed:
             continue
-        limits = placement.build_limits(snapshot, service)
+        limits = placement.build_constraints(snapshot, service)
         slots: dict[identity.ZoneId, int] = collections.defaultdict(int)
         for member in view.members.values():
             is_in_zones = limits.zones is None or member.zone in limits.zones
@@ -159,7 +159,9 @@
     return found
 
 
-def preview(before: route.Snapshot, after: route.Snapshot, view: assignment.View) -> Preview:
+def compare_configurations(
+    before: route.Snapshot, after: route.Snapshot, view: assignment.View
+) -> Forecast:
     """Return what changes when one configuration replaces another.
 
     Moves that would happen under the old configuration as well are not counted.
@@ -168,7 +170,7 @@
     :param after: the configuration to come.
     :param view: the present members, owners and loads.
     """
-    old, new = settle(before, view), settle(after, view)
+    old, new = simulate(before, view), simulate(after, view)
     moves = []
     for shard, owner in sorted(new.owners.items()):
         source = old.owners.get(shard)
@@ -181,9 +183,10 @@
         moves.append(assignment.Move(shard=shard, source=source, target=owner, reason=reason))
     loads_before, loads_after = sum_by_node(old), sum_by_node(new)
     limits = {
-        name: placement.build_limits(after, service) for name, service in after.services.items()
+        name: placement.build_constraints(after, service)
+        for name, service in after.services.items()
     }
-    return Preview(
+    return Forecast(
         moves=moves,
         reasons=dict(collections.Counter(move.reason for move in moves)),
         split=sorted(new.owners.keys() - old.owners.keys() - list_partitions(new)),
@@ -208,7 +211,7 @@
     )
 
 
-def list_partitions(settled: Settled) -> set[identity.ShardId]:
+def list_partitions(settled: StableAssignment) -> set[identity.ShardId]:
     """Return the shards that are partitions.
 
     :param settled: an assignment.
--- a/src/ebonyvalve/version/outlook.py
+++ b/src/ebonyvalve/version/impact.py
@@ -9,53 +9,55 @@
 from ebonyvalve.version import traffic
 
 # Targets that are offered more than this much of what they can do refuse some of it.
-FULL = 1.0
+FULL_LOAD = 1.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outlook:
+class Prediction:
     """Lines about what would change, and reasons not to do it."""
 
     changes: list[str]
     reasons: list[str]
 
 
-def foresee_evacuation(seen: survey.Survey, zone: identity.ZoneId) -> Outlook:
+def predict_evacuation(node_survey: survey.Survey, zone: identity.ZoneId) -> Prediction:
     """Return what an evacuation would do.
 
     :param seen: what a node believes now.
     :param zone: the zone whose targets would get nothing.
     """
-    outlook = Outlook(changes=[], reasons=[])
-    if all(peer.member.zone != zone for peer in seen.peers):
+    outlook = Prediction(changes=[], reasons=[])
+    if all(peer.member.zone != zone for peer in node_survey.peers):
         outlook.reasons.append(f"zone {zone}: no target is known there")
-    if zone in seen.evacuated:
+    if zone in node_survey.evacuated:
         outlook.reasons.append(f"zone {zone}: is evacuated already")
-    open_ = [peer for peer in seen.peers if survey.is_open(seen, peer)]
+    open_ = [peer for peer in node_survey.peers if survey.is_open(node_survey, peer)]
     for service in sorted({peer.member.service for peer in open_}):
         present = [peer for peer in open_ if peer.member.service == service]
         leaving = [peer for peer in present if peer.member.zone == zone]
         if leaving:
             staying = [peer for peer in present if peer.member.zone != zone]
-            _foresee_service(seen, service, leaving, staying, outlook)
+            _foresee_service(node_survey, service, leaving, staying, outlook)
     return outlook
 
 
-def foresee_split(seen: survey.Survey, before: traffic.Traffic, after: traffic.Traffic) -> Outlook:
+def predict_split(
+    node_survey: survey.Survey, before: traffic.TrafficConfig, after: traffic.TrafficConfig
+) -> Prediction:
     """Return what other weights of services would do to their targets.
 
     :param seen: what a node believes now.
     :param before: the configuration in force.
     :param after: the one that would replace it.
     """
-    outlook = Outlook(changes=[], reasons=[])
+    outlook = Prediction(changes=[], reasons=[])
     counts = collections.Counter(
-        peer.member.service for peer in seen.peers if survey.is_open(seen, peer)
+        peer.member.service for peer in node_survey.peers if survey.is_open(node_survey, peer)
     )
     for route in after.routes:
-        old = traffic.find_same(before, route)
-        was = {} if old is None else traffic.read_parts(old)
-        will = traffic.read_parts(route)
+        old = traffic.find_matching_route(before, route)
+        was = {} if old is None else traffic.compute_fractions(old)
+        will = traffic.compute_fractions(route)
         for service in sorted(was.keys() | will.keys()):
             change = will.get(service, 0.0) - was.get(service, 0.0)
             if not change:
@@ -79,7 +81,7 @@
     service: identity.ServiceId,
     leaving: list[survey.Peer],
     staying: list[survey.Peer],
-    outlook: Outlook,
+    outlook: Prediction,
 ) -> None:
     kind = "keys" if service in seen.keyed else "requests"
     slots = sum(peer.member.slots for peer in staying)
@@ -91,7 +93,7 @@
         f"service {service}: {len(leaving)} of {len(leaving) + len(staying)} targets get nothing; "
         f"the others are offered {offered:.2f} of what they can do"
     )
-    if offered > FULL:
+    if offered > FULL_LOAD:
         outlook.reasons.append(
             f"service {service}: that is more than its other targets can do ({offered:.2f})"
         )
--- a/src/ebonyvalve/version/placement.py
+++ b/src/ebonyvalve/version/placement.py
@@ -124,7 +124,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Limits:
+class Constraints:
     """Where the shards of one service may be: zones for its partitions, and for named keys."""
 
     service: objects.Service
@@ -139,7 +139,7 @@
 class Board:
     """The shards of one service as they will be once the moves planned so far are done."""
 
-    limits: Limits
+    limits: Constraints
     # Members that may own shards, and the load in slots that each can take.
     members: dict[identity.NodeId, message.Member]
     capacity: dict[identity.NodeId, float]
@@ -154,7 +154,7 @@
     zone_capacity: dict[identity.ZoneId, float]
 
 
-def build_limits(snapshot: route.Snapshot, service: objects.Service) -> Limits:
+def build_constraints(snapshot: route.Snapshot, service: objects.Service) -> Constraints:
     """Collect the rules and drain orders that concern a service.
 
     A rule that names a key replaces the rules of the service for that key. Several rules of the
@@ -171,7 +171,7 @@
         own = intersect(rule.zones for rule in rules if name in rule.keys)
         key_zones[identity.name_key(service.name, key.key)] = general if own is None else own
     drains = snapshot.drains.values()
-    return Limits(
+    return Constraints(
         service=service,
         zones=general,
         key_zones=key_zones,
@@ -191,36 +191,36 @@
     return frozenset.intersection(*sets) if sets else None
 
 
-def is_eligible(member: message.Member, limits: Limits) -> bool:
+def is_eligible(member: message.Member, constraints: Constraints) -> bool:
     """Say whether a member may get shards of a service at all.
 
     :param member: the member.
     :param limits: the limits of the service.
     """
     return (
-        member.service == limits.service.name
+        member.service == constraints.service.name
         and member.is_target_up
         and not member.is_leaving
-        and member.zone not in limits.drained_zones
-        and member.node not in limits.drained_nodes
+        and member.zone not in constraints.drained_zones
+        and member.node not in constraints.drained_nodes
     )
 
 
-def is_allowed(member: message.Member, shard: identity.ShardId, limits: Limits) -> bool:
+def is_allowed(member: message.Member, shard: identity.ShardId, constraints: Constraints) -> bool:
     """Say whether the assignment rules allow a shard in a member's zone.
 
     :param member: the member.
     :param shard: the shard.
     :param limits: the limits of the service.
     """
-    zones = limits.key_zones.get(shard, limits.zones)
+    zones = constraints.key_zones.get(shard, constraints.zones)
     return zones is None or member.zone in zones
 
 
 def find_node_reason(
     owner: identity.NodeId | None,
     members: dict[identity.NodeId, message.Member],
-    limits: Limits,
+    limits: Constraints,
 ) -> assignment.MoveReason | None:
     """Return why no shard can stay with an owner, or ``None`` when the owner is in service.
 
@@ -238,7 +238,7 @@
     shard: identity.ShardId,
     owner: identity.NodeId | None,
     members: dict[identity.NodeId, message.Member],
-    limits: Limits,
+    limits: Constraints,
 ) -> assignment.MoveReason | None:
     """Return why a shard can't stay with its owner, or ``None`` when it can.
 
@@ -426,7 +426,7 @@
         state.divided_until_s[parent] = state.divided_until_s[shard] = view.now_s + HOLD_S
 
 
-def observe_members(state: State, view: assignment.View, all_limits: list[Limits]) -> None:
+def observe_members(state: State, view: assignment.View, all_limits: list[Constraints]) -> None:
     """Note since when members are eligible, and since when their targets are cold.
 
     Members of the first view count as eligible for long.
@@ -452,7 +452,7 @@
 
 
 def build_board(
-    limits: Limits,
+    limits: Constraints,
     view: assignment.View,
     state: State,
     shards: list[identity.ShardId],
@@ -946,7 +946,7 @@
 
 
 def plan_service(
-    limits: Limits,
+    limits: Constraints,
     view: assignment.View,
     state: State,
     shards: list[identity.ShardId],
@@ -979,7 +979,7 @@
     :param state: kept by the caller when the configuration changes; changed at each call.
     """
     all_limits = [
-        build_limits(snapshot, service)
+        build_constraints(snapshot, service)
         for _, service in sorted(snapshot.services.items())
         if service.is_keyed
     ]
--- a/src/ebonyvalve/version/plan.py
+++ b/src/ebonyvalve/version/plan.py
@@ -70,7 +70,7 @@
     takes_s: float | None = None
 
 
-Preview = collections.abc.Callable[[objects.ObjectSet, objects.ObjectSet], list[Impact]]
+PreviewFunction = collections.abc.Callable[[objects.ObjectSet, objects.ObjectSet], list[Impact]]
 
 
 class Plan(msgspec.Struct, kw_only=True, frozen=True):
@@ -114,7 +114,7 @@
     before: objects.ObjectSet,
     after: objects.ObjectSet,
     targets: collections.abc.Sequence[check.Target] | None = None,
-    preview: Preview | None = None,
+    preview: PreviewFunction | None = None,
 ) -> Plan:
     """Return what publishing a set would do.
 
@@ -132,7 +132,7 @@
     refusals = finding.list_refusals(found)
     impacts: list[Impact] = []
     if not refusals and changes:
-        impacts = (preview or estimate_with(targets))(before, after)
+        impacts = (preview or build_estimate(targets))(before, after)
     takes_s = _estimate_duration(after, impacts)
     found += _check_drain_times(after, impacts, takes_s)
     return Plan(
@@ -147,7 +147,7 @@
     )
 
 
-def estimate_with(targets: collections.abc.Sequence[check.Target] | None) -> Preview:
+def build_estimate(targets: collections.abc.Sequence[check.Target] | None) -> PreviewFunction:
     """Return a preview that assumes an even spread of shards by slots.
 
     :param targets: the targets in service; without them, those that the zones state.
--- a/src/ebonyvalve/version/preview.py
+++ b/src/ebonyvalve/version/preview.py
@@ -9,7 +9,9 @@
 Owners = dict[identity.ShardId, identity.NodeId | None]
 
 
-def build_preview(targets: collections.abc.Sequence[check.Target], owners: Owners) -> plan.Preview:
+def build_preview(
+    targets: collections.abc.Sequence[check.Target], owners: Owners
+) -> plan.PreviewFunction:
     """Return a preview for the owners at present, with every shard taken to be equally busy.
 
     :param targets: the targets in service.
@@ -23,7 +25,7 @@
         # Moves that placement would make anyway do not belong to the change.
         settled = _settle(old, members, owners)
         final = _settle(new, members, settled.owners)
-        estimates = plan.estimate_with(targets)(before, after)
+        estimates = plan.build_estimate(targets)(before, after)
         return [_summarise(new, impact, settled, final, targets) for impact in estimates]
 
     return preview
@@ -44,9 +46,9 @@
 
 def _settle(
     snapshot: route.Snapshot, members: dict[identity.NodeId, message.Member], owners: Owners
-) -> forecast.Settled:
+) -> forecast.StableAssignment:
     view = assignment.View(members=members, owners=owners, loads={}, hot_keys={}, now_s=0.0)
-    return forecast.settle(snapshot, view)
+    return forecast.simulate(snapshot, view)
 
 
 def _find_partition(snapshot: route.Snapshot, shard: identity.ShardId) -> identity.ShardId:
@@ -59,8 +61,8 @@
 def _summarise(
     snapshot: route.Snapshot,
     estimate: plan.Impact,
-    settled: forecast.Settled,
-    final: forecast.Settled,
+    settled: forecast.StableAssignment,
+    final: forecast.StableAssignment,
     targets: collections.abc.Sequence[check.Target],
 ) -> plan.Impact:
     service = estimate.service
--- a/src/ebonyvalve/version/publish.py
+++ b/src/ebonyvalve/version/publish.py
@@ -14,9 +14,9 @@
 LOG_PREFIX = "config/log/"
 # With the pause, a store that is down for a few seconds does not leave the outcome unknown.
 MAX_ATTEMPTS = 8
-RETRY_S = 0.5
+RETRY_INTERVAL_S = 0.5
 # A heartbeat is due every 150 ms; asking more often shows nothing new.
-PROGRESS_S = 0.25
+PROGRESS_INTERVAL_S = 0.25
 MAX_LISTED = 20
 
 
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Order:
+class PublishRequest:
     """A request to publish the objects in ``body``, planned on version ``base``."""
 
     body: bytes
@@ -80,11 +80,11 @@
 
 
 HeadResult = result.Result[Head, str]
-Fetch = collections.abc.Callable[[], collections.abc.Awaitable[list[report.NodeVersion]]]
-Progress = collections.abc.Callable[[int, int, list[report.NodeVersion]], None]
+FetchVersions = collections.abc.Callable[[], collections.abc.Awaitable[list[report.NodeVersion]]]
+ReportProgress = collections.abc.Callable[[int, int, list[report.NodeVersion]], None]
 
 
-def name_log(version: int) -> str:
+def name_log_row(version: int) -> str:
     """Return the table key of a version's row in the history.
 
     :param version: the version.
@@ -118,7 +118,7 @@
     :param table: the table.
     :param version: the version.
     """
-    return (await _read_entry(table, name_log(version))).map(lambda found: found[0])
+    return (await _read_entry(table, name_log_row(version))).map(lambda found: found[0])
 
 
 async def read_history(table: platform.Table) -> result.Result[list[Entry], str]:
@@ -157,7 +157,9 @@
     return objects.decode_body(body.unwrap())
 
 
-async def publish(services: platform.Platform, order: Order, clock: timer.Timer) -> Published:
+async def publish(
+    services: platform.Platform, request: PublishRequest, clock: timer.Timer
+) -> Published:
     """Publish a checked set of objects with one conditional write.
 
     :param services: the platform.
@@ -166,29 +168,29 @@
     """
     head = await read_head(services.table)
     if not isinstance(head, result.Success):
-        return _fail(order, f"nothing was published: {head.failure()}")
+        return _fail(request, f"nothing was published: {head.failure()}")
     found = head.unwrap()
-    if find_version(found) != order.base:
-        return await _explain_conflict(services, order, found.entry)
+    if find_version(found) != request.base:
+        return await _explain_conflict(services, request, found.entry)
     entry = Entry(
-        version=identity.ConfigVersion(order.base + 1),
-        digest=objects.digest_body(order.body),
-        author=order.author,
-        note=order.note,
-        at=order.at,
-        publication=order.publication,
+        version=identity.ConfigVersion(request.base + 1),
+        digest=objects.digest_body(request.body),
+        author=request.author,
+        note=request.note,
+        at=request.at,
+        publication=request.publication,
     )
     # The body goes first: a head without its body could not come into force anywhere.
-    if not await _put_body(services.objects, entry.digest, order.body, clock):
-        return _fail(order, "nothing was published: the object store does not answer")
-    return await _commit_entry(services, order, entry, found.row_version, clock)
+    if not await _put_body(services.objects, entry.digest, request.body, clock):
+        return _fail(request, "nothing was published: the object store does not answer")
+    return await _commit_entry(services, request, entry, found.row_version, clock)
 
 
 async def wait_in_force(
     *,
     version: identity.ConfigVersion,
-    fetch: Fetch,
-    progress: Progress,
+    fetch: FetchVersions,
+    progress: ReportProgress,
     clock: timer.Timer,
     within_s: float,
 ) -> list[report.NodeVersion]:
@@ -212,7 +214,7 @@
             shown = list(names)
         if not lagging or timer.now(clock) >= end_at:
             return lagging
-        await timer.wait_until(clock, min(timer.now(clock) + PROGRESS_S, end_at))
+        await timer.wait_until(clock, min(timer.now(clock) + PROGRESS_INTERVAL_S, end_at))
 
 
 def render_entry(entry: Entry) -> str:
@@ -239,7 +241,7 @@
     return decoding.decode(value, Entry).alt(lambda fault: f"{key} holds no valid entry: {fault}")
 
 
-def _fail(order: Order, cause: str) -> Published:
+def _fail(order: PublishRequest, cause: str) -> Published:
     return Published(state=State.UNAVAILABLE, version=order.base, cause=cause)
 
 
@@ -248,7 +250,7 @@
 ) -> bool:
     for attempt in range(MAX_ATTEMPTS):
         if attempt:
-            await timer.wait_until(clock, timer.now(clock) + RETRY_S)
+            await timer.wait_until(clock, timer.now(clock) + RETRY_INTERVAL_S)
         # Writing a body again under its own digest changes nothing.
         if isinstance(await store.put(digest, body), result.Success):
             return True
@@ -256,7 +258,11 @@
 
 
 async def _commit_entry(
-    services: platform.Platform, order: Order, entry: Entry, row_version: int, clock: timer.Timer
+    services: platform.Platform,
+    order: PublishRequest,
+    entry: Entry,
+    row_version: int,
+    clock: timer.Timer,
 ) -> Published:
     """Commit until the outcome is known.
 
@@ -265,10 +271,10 @@
     again, so it tells whose publication took effect.
     """
     value = msgspec.json.encode(entry)
-    log_key = name_log(entry.version)
+    log_key = name_log_row(entry.version)
     for attempt in range(MAX_ATTEMPTS):
         if attempt:
-            await timer.wait_until(clock, timer.now(clock) + RETRY_S)
+            await timer.wait_until(clock, timer.now(clock) + RETRY_INTERVAL_S)
         state = await services.table.commit(
             {HEAD_KEY: row_version, log_key: 0}, {HEAD_KEY: value, log_key: value}
         )
@@ -309,7 +315,7 @@
 
 
 async def _explain_conflict(
-    services: platform.Platform, order: Order, other: Entry | None
+    services: platform.Platform, order: PublishRequest, other: Entry | None
 ) -> Published:
     if other is None:
         cause = f"refused: planned on version {order.base}, but no version is in force"
@@ -328,7 +334,9 @@
     )
 
 
-async def _list_differences(services: platform.Platform, order: Order, other: Entry) -> list[str]:
+async def _list_differences(
+    services: platform.Platform, order: PublishRequest, other: Entry
+) -> list[str]:
     theirs = await read_objects(services.objects, other)
     mine = objects.decode_body(order.body)
     if not (isinstance(theirs, result.Success) and isinstance(mine, result.Success)):
--- a/src/ebonyvalve/version/traffic.py
+++ b/src/ebonyvalve/version/traffic.py
@@ -8,7 +8,7 @@
 from ebonyvalve.process.load import policy
 
 
-class Repeat(enum.Enum):
+class Repeatability(enum.Enum):
     """How often a request may run."""
 
     IDEMPOTENT = "idempotent"
@@ -35,7 +35,7 @@
     host: str
     prefix: str
     shares: tuple[Share, ...]
-    repeat: Repeat
+    repeatability: Repeatability
     timeout_s: float
     objective_s: float
     attempts: int
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Traffic:
+class TrafficConfig:
     """One accepted configuration. It is replaced as a whole, never changed."""
 
     version: identity.ConfigVersion
@@ -64,10 +64,10 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Current:
+class CurrentTraffic:
     """The configuration in force, or ``None`` before the first one."""
 
-    traffic: Traffic | None = None
+    traffic: TrafficConfig | None = None
 
 
 def build(
@@ -76,7 +76,7 @@
     routes: collections.abc.Iterable[Route],
     services: collections.abc.Iterable[policy.ServicePolicy],
     limits: Limits,
-) -> Traffic:
+) -> TrafficConfig:
     """Index a configuration.
 
     :param version: its version.
@@ -88,7 +88,7 @@
     by_host: dict[str, dict[str, Route]] = {}
     for route in listed:
         by_host.setdefault(route.host, {})[route.prefix] = route
-    return Traffic(
+    return TrafficConfig(
         version=version,
         routes=listed,
         services={service.name: service for service in services},
@@ -97,7 +97,7 @@
     )
 
 
-def find_route(traffic: Traffic, host: str, target: str) -> Route | None:
+def find_route(traffic: TrafficConfig, host: str, target: str) -> Route | None:
     """Return the route with the longest prefix of a path, in time linear in the path's depth.
 
     :param traffic: the configuration.
@@ -117,7 +117,7 @@
     return None
 
 
-def find_same(traffic: Traffic, route: Route) -> Route | None:
+def find_matching_route(traffic: TrafficConfig, route: Route) -> Route | None:
     """Return the route that has the same host and prefix as one of another configuration.
 
     :param traffic: the configuration to look in.
@@ -142,7 +142,7 @@
     return route.shares[-1].service
 
 
-def check(traffic: Traffic) -> list[str]:
+def check(traffic: TrafficConfig) -> list[str]:
     """Return every reason for which a configuration can't be applied.
 
     :param traffic: the configuration.
@@ -166,7 +166,7 @@
     return found
 
 
-def _check_route(traffic: Traffic, route: Route) -> collections.abc.Iterator[str]:
+def _check_route(traffic: TrafficConfig, route: Route) -> collections.abc.Iterator[str]:
     if not route.prefix.startswith("/") or not route.prefix.endswith("/"):
         yield f'prefix "{route.prefix}" must begin and end with a slash'
     for share in route.shares:
@@ -182,7 +182,7 @@
         yield f"attempts must be at least 1, not {route.attempts}"
 
 
-def list_changes(before: Traffic, after: Traffic) -> list[str]:
+def list_changes(before: TrafficConfig, after: TrafficConfig) -> list[str]:
     """Return what callers and targets would notice of a new configuration, a line each.
 
     :param before: the configuration in force.
@@ -191,11 +191,11 @@
     lines = [
         f"{route.host}{route.prefix}: its callers would be told 404; route {route.name!r} goes"
         for route in before.routes
-        if find_same(after, route) is None
+        if find_matching_route(after, route) is None
     ]
     for route in after.routes:
         place = f"{route.host}{route.prefix}"
-        known = find_same(before, route)
+        known = find_matching_route(before, route)
         if known is None:
             lines.append(f"{place}: new, to {_describe_shares(route)}")
             continue
@@ -211,8 +211,8 @@
 def _list_route_changes(before: Route, after: Route) -> collections.abc.Iterator[str]:
     if before.shares != after.shares:
         yield f"from {_describe_shares(before)} to {_describe_shares(after)}"
-    if before.repeat is not after.repeat:
-        yield f"requests are {after.repeat.value} instead of {before.repeat.value}"
+    if before.repeatability is not after.repeatability:
+        yield f"requests are {after.repeatability.value} instead of {before.repeatability.value}"
     if before.timeout_s != after.timeout_s:
         yield f"time-out {before.timeout_s:g} s -> {after.timeout_s:g} s"
     if before.attempts != after.attempts:
@@ -221,7 +221,7 @@
         yield f"priority {before.priority} -> {after.priority}"
 
 
-def read_parts(route: Route) -> dict[identity.ServiceId, float]:
+def compute_fractions(route: Route) -> dict[identity.ServiceId, float]:
     """Return the part of a route's requests that each service gets, from 0 to 1.
 
     :param route: the route.
@@ -234,5 +234,5 @@
 
 
 def _describe_shares(route: Route) -> str:
-    parts = read_parts(route)
+    parts = compute_fractions(route)
     return ", ".join(f"{service} {100 * part:.0f}%" for service, part in parts.items())
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -50,7 +50,7 @@
     # The store's counter is ahead of the operator's rows, and below those written after an answer.
     version = newest if is_whole else newest + 20
     read = table.Rows(rows=rows, version=version, clock=None)
-    operator.apply(node, traffic.Current(), read, is_whole=is_whole)
+    operator.apply(node, traffic.CurrentTraffic(), read, is_whole=is_whole)
 
 
 async def test_node_that_the_store_refuses_learns_of_news_from_others(
@@ -76,7 +76,7 @@
         nursery.start_soon(functools.partial(http.serve, respond, theirs))
         return ours
 
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     store = build_refusing_store([first], [])
     nursery.start_soon(operator.follow, node, current, store)
     nursery.start_soon(news.learn, node, current, connect)
@@ -135,7 +135,7 @@
         nursery.start_soon(functools.partial(http.serve, respond, theirs))
         return ours
 
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     store = table.Store(read=read, follow=follow, commit=refuse_commit)
     nursery.start_soon(operator.follow, node, current, store)
     nursery.start_soon(news.learn, node, current, connect)
@@ -182,7 +182,7 @@
         return table.Rows(rows=(), version=after, clock=None)
 
     store = table.Store(read=read, follow=follow, commit=refuse_commit)
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     nursery.start_soon(operator.follow, node, current, store)
     nursery.start_soon(news.learn, node, current, connect)
     await trio.sleep(1.0)
@@ -204,7 +204,7 @@
     nursery.start_soon(timer.run, node.wakeups)
     asked: list[str] = []
     nursery.start_soon(
-        news.learn, node, traffic.Current(), functools.partial(fail_to_connect, asked)
+        news.learn, node, traffic.CurrentTraffic(), functools.partial(fail_to_connect, asked)
     )
     apply(node, test_operator.build_row("config", 4, mesh_module.build_config(2)), is_whole=True)
     before = node.recheck
@@ -225,7 +225,7 @@
     nursery.start_soon(timer.run, node.wakeups)
     asked: list[str] = []
     nursery.start_soon(
-        news.learn, node, traffic.Current(), functools.partial(fail_to_connect, asked)
+        news.learn, node, traffic.CurrentTraffic(), functools.partial(fail_to_connect, asked)
     )
     node_module.note_named(node, 9, TELLER)
     await trio.sleep(2.0)
@@ -244,7 +244,7 @@
     newer = test_operator.build_row("config", 9, mesh_module.build_config(7))
     apply(teller, newer, is_whole=True)
     told = news.tell(teller, f"{news.NEWS_PATH}{late.operator_version}")
-    assert told is not None and news.take(late, traffic.Current(), told)
+    assert told is not None and news.take(late, traffic.CurrentTraffic(), told)
     assert late.config == 7
     assert late.evacuated == frozenset()
     assert late.operator_version == 9
@@ -252,7 +252,7 @@
     third = test_origin.build_origin(0.0).node
     apply(third, config, test_operator.build_row("evacuate/z2", 6, b"{}"), is_whole=True)
     told = news.tell(late, f"{news.NEWS_PATH}{third.operator_version}")
-    assert told is not None and news.take(third, traffic.Current(), told)
+    assert told is not None and news.take(third, traffic.CurrentTraffic(), told)
     assert third.evacuated == frozenset()
 
 
@@ -270,7 +270,7 @@
 async def test_unreadable_news(body: bytes, autojump_clock: trio.testing.MockClock) -> None:
     """They change nothing."""
     node = test_origin.build_origin(0.0).node
-    assert not news.take(node, traffic.Current(), body)
+    assert not news.take(node, traffic.CurrentTraffic(), body)
     assert node.operator_version == 0
     assert news.tell(node, f"{news.NEWS_PATH}x") is None
 
@@ -288,5 +288,5 @@
         request = http.Request(method="GET", path=f"{news.NEWS_PATH}0")
         sent = await http.fetch(entry.steward.connect, address, request, timeout_s=2.0)
         other = test_origin.build_origin(0.0).node
-        assert news.take(other, traffic.Current(), sent.unwrap().body)
+        assert news.take(other, traffic.CurrentTraffic(), sent.unwrap().body)
         assert other.config == identity.ConfigVersion(1)
--- a/tests/platform/test_operator.py
+++ b/tests/platform/test_operator.py
@@ -62,7 +62,7 @@
 ) -> None:
     """A follow that was lost with the store stays silent; other nodes' requests name the news."""
     node = test_origin.build_origin(0.0).node
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     rows = [build_row("config", 4, mesh_module.build_config(2))]
     silent = [False]
     store, _ = build_store(rows, silent)
@@ -92,7 +92,7 @@
 async def test_versions_never_go_back(autojump_clock: trio.testing.MockClock) -> None:
     """A late or repeated row must not undo a newer one."""
     node = test_origin.build_origin(0.0).node
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     for version, expected in ((5, 5), (3, 5), (6, 6)):
         row = build_row("config", version, mesh_module.build_config(version))
         rows = table.Rows(rows=(row,), version=version, clock=None)
@@ -105,7 +105,7 @@
 ) -> None:
     """The last good one stays."""
     node = test_origin.build_origin(0.0).node
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     good = build_row("config", 1, mesh_module.build_config(1))
     document = msgspec.json.decode(mesh_module.build_config(2))
     document["resources"][0]["spec"]["prefix"] = "/lookup"
@@ -158,7 +158,7 @@
 ) -> None:
     """It ended the nodes, or failed later in waits and in headers of requests."""
     node = test_origin.build_origin(0.0).node
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     caplog.set_level("INFO")
     good = build_row("config", 1, mesh_module.build_config(1))
     rows = (build_row("config", 2, value), build_row("evacuate/z2", 3, b"{}"))
@@ -182,7 +182,7 @@
 )
 def test_any_bytes_are_a_configuration_or_reasons(value: bytes) -> None:
     """An exception here ended every node at once."""
-    assert isinstance(configuration.decode(value), traffic.Traffic | list)
+    assert isinstance(configuration.decode(value), traffic.TrafficConfig | list)
 
 
 async def test_odd_version_that_another_node_names_is_forgotten(
@@ -193,7 +193,7 @@
     rows = [build_row("config", 4, mesh_module.build_config(2))]
     silent = [False]
     store, _ = build_store(rows, silent)
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     nursery.start_soon(timer.run, node.wakeups)
     nursery.start_soon(operator.follow, node, current, store)
     nursery.start_soon(news.learn, node, current, fail_to_connect)
@@ -225,8 +225,8 @@
 
     counting = dataclasses.replace(store, follow=follow)
     nursery.start_soon(timer.run, node.wakeups)
-    nursery.start_soon(operator.follow, node, traffic.Current(), counting)
-    nursery.start_soon(news.learn, node, traffic.Current(), fail_to_connect)
+    nursery.start_soon(operator.follow, node, traffic.CurrentTraffic(), counting)
+    nursery.start_soon(news.learn, node, traffic.CurrentTraffic(), fail_to_connect)
     for _ in range(50):
         await trio.sleep(0.1)
         node_module.note_named(node, 20)
@@ -238,7 +238,7 @@
 ) -> None:
     """A node's answer was complete up to 10, and came after the store had been read at 12."""
     node = test_origin.build_origin(0.0).node
-    current = traffic.Current()
+    current = traffic.CurrentTraffic()
     config = build_row("config", 4, mesh_module.build_config(2))
     whole = table.Rows(rows=(config,), version=12, clock=None)
     operator.apply(node, current, whole, is_whole=True)
--- a/tests/request/test_explanation.py
+++ b/tests/request/test_explanation.py
@@ -16,7 +16,7 @@
     """One target for each service; the keys are with the first node."""
     entry = test_origin.build_origin(1.0)
     found = configuration.decode(mesh.build_config(5))
-    assert isinstance(found, traffic.Traffic)
+    assert isinstance(found, traffic.TrafficConfig)
     entry.current.traffic = found
     entry.node.members.clear()
     for number, service in enumerate((mesh.KEYED, mesh.ORDERS)):
--- a/tests/request/test_origin.py
+++ b/tests/request/test_origin.py
@@ -69,7 +69,7 @@
             crashes=crash.Watch(node=node, pool=peers, connect=connect),
         ),
         peers=peers,
-        current=traffic.Current(),
+        current=traffic.CurrentTraffic(),
     )
 
 
--- a/tests/version/test_forecast.py
+++ b/tests/version/test_forecast.py
@@ -21,7 +21,7 @@
 def test_drain_shows_what_then_happens(nodes: int) -> None:
     """Guards against a preview that differs from what the coordinator does after publishing."""
     world = worlds.build_world(nodes)
-    shown = forecast.preview(build(), build(*drain("b")), worlds.view(world))
+    shown = forecast.compare_configurations(build(), build(*drain("b")), worlds.view(world))
     world.entries += drain("b")
     worlds.run(world, 60.0)
     assert {move.shard: move.target for move in shown.moves} == {
@@ -42,19 +42,19 @@
     """Guards against moves shown for a change that has nothing to do with them."""
     world = worlds.build_world()
     worlds.lose(world, 1)
-    shown = forecast.preview(build(), build(), worlds.view(world))
+    shown = forecast.compare_configurations(build(), build(), worlds.view(world))
     assert (shown.moves, shown.added_loads, shown.split, shown.merge) == ([], {}, [], [])
 
 
 def test_stranded_shards_and_zones_at_risk_are_named() -> None:
     """Guards against a plan that looks safe and leaves keys without a possible owner."""
     view = worlds.view(worlds.build_world())
-    everything = forecast.preview(build(), build(*drain("a", "b", "c")), view)
+    everything = forecast.compare_configurations(build(), build(*drain("a", "b", "c")), view)
     assert len(everything.stranded) == 60 and not everything.moves
-    one = forecast.preview(build(), build(*drain("a")), view)
+    one = forecast.compare_configurations(build(), build(*drain("a")), view)
     assert not one.stranded
     assert one.zones_at_risk == [(worlds.SERVICE.name, "b"), (worlds.SERVICE.name, "c")]
-    assert forecast.preview(build(), build(), view).zones_at_risk == []
+    assert forecast.compare_configurations(build(), build(), view).zones_at_risk == []
 
 
 def test_named_key_is_shown_as_split_and_moved() -> None:
@@ -68,7 +68,7 @@
     rule = objects.AssignmentRule(
         name="rule", service=worlds.SERVICE.name, zones=[zone], keys=["vip"]
     )
-    shown = forecast.preview(build(), build(named, rule), worlds.view(world))
+    shown = forecast.compare_configurations(build(), build(named, rule), worlds.view(world))
     assert shown.split == [shard]
     assert [(move.shard, move.source, move.reason) for move in shown.moves] == [
         (shard, home.node, assignment.MoveReason.RULE)
--- a/tests/version/test_outlook.py
+++ b/tests/version/test_outlook.py
@@ -7,7 +7,7 @@
 from ebonyvalve.platform import configuration
 from ebonyvalve.process import identity, member, survey
 from ebonyvalve.process.keyspace import ledger
-from ebonyvalve.version import outlook, traffic
+from ebonyvalve.version import impact, traffic
 from tests.platform import mesh
 
 SERVICE = identity.ServiceId("lookup")
@@ -54,7 +54,7 @@
 
 def test_keys_that_would_move_are_named() -> None:
     """Each range and its next holder; the sum is all that the zone holds."""
-    found = outlook.foresee_evacuation(build_survey(PEERS, is_keyed=True), identity.ZoneId("z2"))
+    found = impact.predict_evacuation(build_survey(PEERS, is_keyed=True), identity.ZoneId("z2"))
     assert found.reasons == []
     moves = [line for line in found.changes if " keys " in line and " from c " in line]
     assert moves
@@ -64,7 +64,7 @@
 
 def test_load_that_would_move_is_named() -> None:
     """Targets without keys share the requests by their slots."""
-    found = outlook.foresee_evacuation(build_survey(PEERS, is_keyed=False), identity.ZoneId("z2"))
+    found = impact.predict_evacuation(build_survey(PEERS, is_keyed=False), identity.ZoneId("z2"))
     assert "target i-a (a): load 0.30 -> 0.45" in found.changes
     assert found.reasons == []
 
@@ -80,14 +80,14 @@
 def test_reasons_against_an_evacuation(peers: list[survey.Peer], zone: str, reason: str) -> None:
     """A zone whose evacuation would leave a service without room is refused beforehand."""
     seen = build_survey(peers, is_keyed=True)
-    found = outlook.foresee_evacuation(seen, identity.ZoneId(zone))
+    found = impact.predict_evacuation(seen, identity.ZoneId(zone))
     assert any(reason in line for line in found.reasons), found
 
 
-def read_traffic(version: int, shares: dict[str, float]) -> traffic.Traffic:
+def read_traffic(version: int, shares: dict[str, float]) -> traffic.TrafficConfig:
     split = [{"backend": name, "weight": weight} for name, weight in shares.items()]
     found = configuration.decode(mesh.build_config(version, split=split))
-    assert isinstance(found, traffic.Traffic)
+    assert isinstance(found, traffic.TrafficConfig)
     return found
 
 
@@ -95,7 +95,7 @@
     """Each target's part of what is added or taken; a service without targets is refused."""
     before = read_traffic(1, {"lookup": 1.0})
     after = read_traffic(2, {"lookup": 0.7, "orders": 0.3})
-    found = outlook.foresee_split(build_survey(PEERS, is_keyed=False), before, after)
+    found = impact.predict_split(build_survey(PEERS, is_keyed=False), before, after)
     assert any(
         "lookup: -30%" in line and "-10.0% for each of its 3" in line for line in found.changes
     )
--- a/tests/version/test_publish.py
+++ b/tests/version/test_publish.py
@@ -22,8 +22,8 @@
     )
 
 
-def make_order(author: str, *, base: int = 0, slots: int = 10) -> publish.Order:
-    return publish.Order(
+def make_order(author: str, *, base: int = 0, slots: int = 10) -> publish.PublishRequest:
+    return publish.PublishRequest(
         body=objects.encode_body(make_set(slots)),
         base=identity.ConfigVersion(base),
         author=author,
@@ -154,7 +154,7 @@
         assert first.state is publish.State.ACCEPTED
         memory.delay_s = 0.05
 
-        async def run(order: publish.Order) -> None:
+        async def run(order: publish.PublishRequest) -> None:
             done[order.author] = await publish.publish(services, order, clock)
 
         async with trio.open_nursery() as nursery:
--- a/tests/version/test_traffic.py
+++ b/tests/version/test_traffic.py
@@ -11,11 +11,11 @@
 from tests.platform import mesh as mesh_module
 
 
-def build(**changes: object) -> traffic.Traffic | list[str]:
+def build(**changes: object) -> traffic.TrafficConfig | list[str]:
     return configuration.decode(mesh_module.build_config(3, **changes))
 
 
-def edit(index: int, **changes: object) -> traffic.Traffic | list[str]:
+def edit(index: int, **changes: object) -> traffic.TrafficConfig | list[str]:
     document = msgspec.json.decode(mesh_module.build_config(3))
     document["resources"][index]["spec"].update(changes)
     return configuration.decode(msgspec.json.encode(document))
@@ -24,7 +24,7 @@
 def test_longest_prefix_wins() -> None:
     """Every prefix ends with a slash, so that whole path segments match."""
     accepted = edit(0, prefix="/orders/urgent/")
-    assert isinstance(accepted, traffic.Traffic)
+    assert isinstance(accepted, traffic.TrafficConfig)
 
     def find(path: str, host: str = mesh_module.HOST) -> str | None:
         route = traffic.find_route(accepted, host, path)
@@ -41,7 +41,7 @@
     """A split sends its parts what their weights say."""
     parts = [{"backend": "lookup", "weight": 90}, {"backend": "orders", "weight": 10}]
     accepted = edit(0, split=parts)
-    assert isinstance(accepted, traffic.Traffic)
+    assert isinstance(accepted, traffic.TrafficConfig)
     rng = random.Random(2)
     route = accepted.routes[0]
     counts = collections.Counter(traffic.pick_service(route, rng.random()) for _ in range(5000))
