--- a/src/ebonyvalve/connection/channel.py
+++ b/src/ebonyvalve/connection/channel.py
@@ -252,7 +252,7 @@
     stream: grpclib.protocol.Stream
     outbox: Outbox = dataclasses.field(default_factory=Outbox)
     running: int = 0
-    heard_at_s: float
+    last_request_at_s: float
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -286,7 +286,7 @@
     failures: int = 0
     retry_at_s: float = 0.0
     # Streams retired in a row without a delivery; each doubles the wait before the next.
-    silences: int = 0
+    silent_streams: int = 0
     in_flight: int = 0
     used_at_s: float = 0.0
     sequence: collections.abc.Iterator[int] = dataclasses.field(default_factory=itertools.count)
@@ -548,11 +548,11 @@
 
 def _retire_silent(state: State, known: Peer) -> None:
     link = known.link
-    after_s = min(state.limits.silent_s * 2**known.silences, state.limits.silent_max_s)
+    after_s = min(state.limits.silent_s * 2**known.silent_streams, state.limits.silent_max_s)
     if link is None or not is_silent(link, now_s=trio.current_time(), after_s=after_s):
         return
     log.info("stream to %s delivers nothing for %.3f s; opening another", known.address, after_s)
-    known.silences = min(known.silences + 1, 16)
+    known.silent_streams = min(known.silent_streams + 1, 16)
     known.link = None
     # Requests that the peer is slow to answer may still get their replies on the old stream.
     link.is_retired = True
@@ -585,13 +585,13 @@
     if known.link is link:
         known.link = None
     if known.opening is opening:
-        _note_refusal(state, known)
+        _record_failed_open(state, known)
         known.opening = None
         opening.set()
     _resolve_all(link, peer.PeerFailure.CLOSED)
 
 
-def _note_refusal(state: State, known: Peer) -> None:
+def _record_failed_open(state: State, known: Peer) -> None:
     delay_s = min(state.limits.backoff_s * 2**known.failures, state.limits.backoff_max_s)
     known.failures = min(known.failures + 1, 16)
     # The random part keeps nodes from reconnecting to a restarted peer at the same moment.
@@ -601,10 +601,10 @@
 async def _carry_requests(
     state: State, known: Peer, link: Link, report_open: collections.abc.Callable[[], None]
 ) -> None:
-    place = split_address(known.address)
-    if place is None:
+    endpoint = split_address(known.address)
+    if endpoint is None:
         raise OSError(f"not an address of the form IP:port: {known.address!r}")
-    host, port = place
+    host, port = endpoint
     async with grpclib.client.Channel(host, port, codec=CODEC, ssl=state.tls) as connection:
         method = grpclib.client.StreamStreamMethod(connection, METHOD, bytes, bytes)
         async with method.open() as stream:
@@ -612,7 +612,7 @@
             await stream.recv_initial_metadata()
 
             def deliver(payload: bytes) -> None:
-                known.silences = 0
+                known.silent_streams = 0
                 _deliver(link, payload)
 
             async with _writing(link.outbox, stream._stream):
@@ -658,10 +658,10 @@
     tls: ssl.SSLContext | None,
     task_status: trio.TaskStatus[identity.Address],
 ) -> None:
-    place = split_address(address)
-    if place is None:
+    endpoint = split_address(address)
+    if endpoint is None:
         raise errors.SettingsError(f"not an address of the form IP:port: {address!r}")
-    host, port = place
+    host, port = endpoint
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.create_server((host, port), family=family)
     async with trio.open_nursery() as nursery:
@@ -685,14 +685,14 @@
         server = await trio_asyncio.aio_as_trio(start, loop=state.loop)()
         nursery.start_soon(_close_unused, state)
         try:
-            task_status.started(_name_bound(listener))
+            task_status.started(_read_bound_address(listener))
             await trio.sleep_forever()
         finally:
             with trio.move_on_after(CLOSE_S, shield=True):
                 await trio_asyncio.aio_as_trio(stop, loop=state.loop)(server)
 
 
-def _name_bound(listener: socket.socket) -> identity.Address:
+def _read_bound_address(listener: socket.socket) -> identity.Address:
     host, port = listener.getsockname()[:2]
     return identity.Address(f"[{host}]:{port}" if ":" in host else f"{host}:{port}")
 
@@ -705,12 +705,12 @@
 ) -> None:
     if len(state.sessions) >= state.limits.accepted_streams:
         raise grpclib.GRPCError(grpclib.Status.RESOURCE_EXHAUSTED, "too many streams")
-    session = Session(stream=stream._stream, heard_at_s=trio.current_time())
+    session = Session(stream=stream._stream, last_request_at_s=trio.current_time())
     state.sessions.add(session)
     try:
         await stream.send_initial_metadata()
         async with _writing(session.outbox, stream._stream):
-            take = functools.partial(_take_request, state, handle, nursery, session)
+            take = functools.partial(_accept_request, state, handle, nursery, session)
             await _receive(stream._stream, take, state.limits.message_bytes)
     except asyncio.CancelledError:
         # grpclib leaves the connection open when the server closes, so that the peer would wait.
@@ -732,15 +732,15 @@
         await trio.sleep(state.limits.idle_s)
         now_s = trio.current_time()
         for session in list(state.sessions):
-            if session.running == 0 and now_s - session.heard_at_s >= idle_s:
+            if session.running == 0 and now_s - session.last_request_at_s >= idle_s:
                 session.stream.connection.close()
 
 
-def _take_request(
+def _accept_request(
     state: State, handle: peer.Handle, nursery: trio.Nursery, session: Session, payload: bytes
 ) -> None:
     limits = state.limits
-    session.heard_at_s = trio.current_time()
+    session.last_request_at_s = trio.current_time()
     if len(session.outbox.payloads) > limits.in_flight:
         raise ValueError("peer does not read its replies")
     request = decode(payload)
--- a/src/ebonyvalve/connection/liveness.py
+++ b/src/ebonyvalve/connection/liveness.py
@@ -17,7 +17,7 @@
 MAX_IDLE_S = 5.0
 
 
-class Use(enum.Enum):
+class Action(enum.Enum):
     """What a request does for a connection."""
 
     REUSE = "reuse"
@@ -56,39 +56,39 @@
     opened_at: float
     phase: Phase = Phase.CONNECTING
     progress_at: float = float("-inf")
-    asked_at: float = float("-inf")
+    awaiting_since: float = float("-inf")
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Pick:
     """The decision for one request. ``retire`` is closed before a connection is opened."""
 
-    use: Use
+    action: Action
     connection: ConnectionId | None = None
     retire: tuple[ConnectionId, ...] = ()
 
 
-def note_connected(connection: Connection, now: float) -> None:
+def record_connected(connection: Connection, now: float) -> None:
     """Note that the connection is established and idle.
 
     :param connection: its state.
     :param now: seconds on the node's clock.
     """
     connection.phase = Phase.IDLE
-    connection.asked_at = now
+    connection.awaiting_since = now
 
 
-def note_asked(connection: Connection, now: float) -> None:
+def record_awaiting(connection: Connection, now: float) -> None:
     """Note that the target has to send next: a request was sent, or the caller reads again.
 
     :param connection: its state.
     :param now: seconds on the node's clock.
     """
     connection.phase = Phase.AWAITING
-    connection.asked_at = now
+    connection.awaiting_since = now
 
 
-def note_held(connection: Connection) -> None:
+def record_held_by_caller(connection: Connection) -> None:
     """Note that the caller has to read or send before the target can go on.
 
     :param connection: its state.
@@ -96,7 +96,7 @@
     connection.phase = Phase.HELD_BY_CALLER
 
 
-def note_progress(connection: Connection, now: float) -> None:
+def record_progress(connection: Connection, now: float) -> None:
     """Note that bytes came from the target.
 
     :param connection: its state.
@@ -105,7 +105,7 @@
     connection.progress_at = now
 
 
-def note_idle(connection: Connection, now: float) -> None:
+def record_idle(connection: Connection, now: float) -> None:
     """Note that a reply is complete and the connection can be reused.
 
     :param connection: its state.
@@ -115,7 +115,9 @@
     connection.progress_at = now
 
 
-def pick(connections: Connections, *, now: float, bound: int, p99_s: float | None = None) -> Pick:
+def pick(
+    connections: Connections, *, now: float, max_connections: int, p99_s: float | None = None
+) -> Pick:
     """Decide how a request gets a connection.
 
     The connection that was idle for the shortest time is reused, so that the others grow old and
@@ -127,21 +129,21 @@
     :param bound: connections that the target accepts.
     :param p99_s: 99th percentile of the target's latency, or ``None`` if it is not known.
     """
-    overdue = [
-        connection.asked_at
+    overdue_since = [
+        connection.awaiting_since
         for connection in connections.values()
         if connection.phase is Phase.AWAITING and _is_overdue(connection, now, p99_s)
     ]
-    trusted_since = max(max(overdue, default=float("-inf")), now - MAX_IDLE_S)
+    trusted_since = max(max(overdue_since, default=float("-inf")), now - MAX_IDLE_S)
     idle = [name for name in connections if connections[name].phase is Phase.IDLE]
-    idle.sort(key=lambda name: _read_life(connections[name]))
-    if idle and _read_life(connections[idle[-1]]) > trusted_since:
-        return Pick(use=Use.REUSE, connection=idle[-1])
-    if len(connections) < bound:
-        return Pick(use=Use.OPEN)
+    idle.sort(key=lambda name: _find_last_use(connections[name]))
+    if idle and _find_last_use(connections[idle[-1]]) > trusted_since:
+        return Pick(action=Action.REUSE, connection=idle[-1])
+    if len(connections) < max_connections:
+        return Pick(action=Action.OPEN)
     if idle:
-        return Pick(use=Use.OPEN, retire=(idle[0],))
-    return Pick(use=Use.WAIT)
+        return Pick(action=Action.OPEN, retire=(idle[0],))
+    return Pick(action=Action.WAIT)
 
 
 def find_silent(connections: Connections, *, now: float, p99_s: float | None) -> list[ConnectionId]:
@@ -160,7 +162,7 @@
         for name, connection in connections.items()
         if connection.phase is Phase.AWAITING and _is_overdue(connection, now, p99_s)
         # Progress made before the silence began says nothing about it.
-        and latest_at > _read_silence(connection) + read_patience(p99_s) / 2
+        and latest_at > _find_last_activity(connection) + compute_silence_timeout(p99_s) / 2
     ]
 
 
@@ -170,7 +172,7 @@
     :param connection: its state.
     :param since: seconds on the node's clock.
     """
-    return connection.phase is Phase.AWAITING and _read_silence(connection) <= since
+    return connection.phase is Phase.AWAITING and _find_last_activity(connection) <= since
 
 
 def find_idle(connections: Connections, *, now: float) -> list[ConnectionId]:
@@ -182,11 +184,11 @@
     return [
         name
         for name, connection in connections.items()
-        if connection.phase is Phase.IDLE and now - _read_life(connection) >= MAX_IDLE_S
+        if connection.phase is Phase.IDLE and now - _find_last_use(connection) >= MAX_IDLE_S
     ]
 
 
-def judge(connections: Connections, *, now: float, p99_s: float | None) -> Health:
+def assess_health(connections: Connections, *, now: float, p99_s: float | None) -> Health:
     """Return whether the target progresses.
 
     While it is ``DOUBTFUL``, :func:`pick` leads requests to new connections.
@@ -201,16 +203,16 @@
         if connection.phase is Phase.AWAITING and _is_overdue(connection, now, p99_s)
     ]
     latest_at = max((other.progress_at for other in connections.values()), default=float("-inf"))
-    if not overdue or now - latest_at < read_patience(p99_s):
+    if not overdue or now - latest_at < compute_silence_timeout(p99_s):
         return Health.PROGRESSING
     # All open connections may go silent at once; only one opened since then tells a stopped target.
-    first_at = min(_read_silence(connection) for connection in overdue)
+    first_at = min(_find_last_activity(connection) for connection in overdue)
     if any(connection.opened_at > first_at for connection in overdue):
         return Health.STALLED
     return Health.DOUBTFUL
 
 
-def read_patience(p99_s: float | None) -> float:
+def compute_silence_timeout(p99_s: float | None) -> float:
     """Return after how many seconds without bytes a connection is overdue.
 
     :param p99_s: 99th percentile of the target's latency, or ``None`` if it is not known.
@@ -219,12 +221,12 @@
 
 
 def _is_overdue(connection: Connection, now: float, p99_s: float | None) -> bool:
-    return now - _read_silence(connection) >= read_patience(p99_s)
+    return now - _find_last_activity(connection) >= compute_silence_timeout(p99_s)
 
 
-def _read_silence(connection: Connection) -> float:
-    return max(connection.asked_at, connection.progress_at)
+def _find_last_activity(connection: Connection) -> float:
+    return max(connection.awaiting_since, connection.progress_at)
 
 
-def _read_life(connection: Connection) -> float:
+def _find_last_use(connection: Connection) -> float:
     return max(connection.opened_at, connection.progress_at)
--- a/src/ebonyvalve/connection/pool.py
+++ b/src/ebonyvalve/connection/pool.py
@@ -17,10 +17,10 @@
 
 CONNECT_TIMEOUT_S = 0.25
 # Each is remembered by the connection.
-MOST_REFUSALS = 64
+MAX_REFUSALS = 64
 
 
-class Cut(enum.Enum):
+class AbortReason(enum.Enum):
     """Why the node itself ended a request on a connection."""
 
     SILENT = "silent"
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Slot:
+class PooledConnection:
     """One connection with what the policy knows of it.
 
     ``scope`` covers its present request, ``is_repeatable`` says that this may be sent again,
@@ -46,19 +46,19 @@
     that a further answer on it could not be told from one that it has brought.
     """
 
-    name: liveness.ConnectionId
-    life: liveness.Connection
+    connection_id: liveness.ConnectionId
+    state: liveness.Connection
     scope: trio.CancelScope
     conn: wire.Wire | None = None
-    cut: Cut | None = None
+    abort_reason: AbortReason | None = None
     is_repeatable: bool = True
-    is_arriving: bool = False
-    is_begun: collections.abc.Callable[[], bool] = lambda: False
-    refused: set[str] = dataclasses.field(default_factory=set)
-    is_spent: bool = False
+    has_response_head: bool = False
+    is_reply_begun: collections.abc.Callable[[], bool] = lambda: False
+    refused_ids: set[str] = dataclasses.field(default_factory=set)
+    must_close: bool = False
 
 
-Slots = dict[liveness.ConnectionId, Slot]
+PooledConnections = dict[liveness.ConnectionId, PooledConnection]
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -67,15 +67,17 @@
 
     connect: network.Connect
     now: collections.abc.Callable[[], float]
-    bound: int = 130
-    slots: dict[identity.Address, Slots] = dataclasses.field(
+    max_connections: int = 130
+    connections: dict[identity.Address, PooledConnections] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(dict)
     )
-    names: collections.abc.Iterator[int] = dataclasses.field(default_factory=itertools.count)
+    connection_ids: collections.abc.Iterator[int] = dataclasses.field(
+        default_factory=itertools.count
+    )
     freed: trio.Event = dataclasses.field(default_factory=trio.Event)
 
 
-SlotResult = result.Result[Slot, PoolFailure]
+AcquireResult = result.Result[PooledConnection, PoolFailure]
 
 
 async def acquire(
@@ -85,7 +87,7 @@
     p99_s: float | None,
     max_idle_s: float | None = None,
     request_id: str = "",
-) -> SlotResult:
+) -> AcquireResult:
     """Return a connection, reused or new; wait while the bound is reached.
 
     :param pool: the pool.
@@ -96,25 +98,25 @@
     :param request_id: the request; it gets no connection on which it was turned away.
     """
     while True:
-        slots = pool.slots[address]
+        slots = pool.connections[address]
         picked = liveness.pick(
-            {name: slot.life for name, slot in slots.items()},
+            {name: slot.state for name, slot in slots.items()},
             now=pool.now(),
-            bound=pool.bound,
+            max_connections=pool.max_connections,
             p99_s=p99_s,
         )
         for name in picked.retire:
             await discard(pool, address, slots[name])
-        if picked.use is liveness.Use.OPEN:
+        if picked.action is liveness.Action.OPEN:
             return await open_new(pool, address)
-        if picked.use is liveness.Use.REUSE and picked.connection is not None:
+        if picked.action is liveness.Action.REUSE and picked.connection is not None:
             slot = slots[picked.connection]
-            idle_s = pool.now() - slot.life.progress_at
+            idle_s = pool.now() - slot.state.progress_at
             # Held before anything is awaited, so that no other request takes it.
-            slot.life.phase = liveness.Phase.HELD_BY_CALLER
+            slot.state.phase = liveness.Phase.HELD_BY_CALLER
             is_fresh = max_idle_s is None or idle_s <= max_idle_s
             is_quiet = slot.conn is not None and wire.is_quiet(slot.conn)
-            if is_fresh and is_quiet and request_id not in slot.refused:
+            if is_fresh and is_quiet and request_id not in slot.refused_ids:
                 slot.scope = trio.CancelScope()
                 return result.Success(slot)
             await discard(pool, address, slot)
@@ -122,18 +124,18 @@
         await pool.freed.wait()
 
 
-async def open_new(pool: Pool, address: identity.Address) -> SlotResult:
+async def open_new(pool: Pool, address: identity.Address) -> AcquireResult:
     """Open a connection.
 
     :param pool: the pool.
     :param address: the other end.
     """
-    slot = Slot(
-        name=liveness.ConnectionId(next(pool.names)),
-        life=liveness.Connection(opened_at=pool.now()),
+    slot = PooledConnection(
+        connection_id=liveness.ConnectionId(next(pool.connection_ids)),
+        state=liveness.Connection(opened_at=pool.now()),
         scope=trio.CancelScope(),
     )
-    pool.slots[address][slot.name] = slot
+    pool.connections[address][slot.connection_id] = slot
     failure = PoolFailure.TIMEOUT
     try:
         with trio.move_on_after(CONNECT_TIMEOUT_S):
@@ -142,82 +144,82 @@
         failure = PoolFailure.REFUSED
     finally:
         if slot.conn is None:
-            _drop(pool, address, slot)
+            _remove(pool, address, slot)
     if slot.conn is None:
         return result.Failure(failure)
-    liveness.note_connected(slot.life, pool.now())
-    slot.life.phase = liveness.Phase.HELD_BY_CALLER
+    liveness.record_connected(slot.state, pool.now())
+    slot.state.phase = liveness.Phase.HELD_BY_CALLER
     return result.Success(slot)
 
 
-async def release(pool: Pool, address: identity.Address, slot: Slot) -> None:
+async def release(pool: Pool, address: identity.Address, slot: PooledConnection) -> None:
     """Give a connection back; it is closed if its exchange did not end cleanly.
 
     :param pool: the pool.
     :param address: the other end.
     :param slot: from :func:`acquire`.
     """
-    if not keep(pool, slot):
+    if not try_release(pool, slot):
         await discard(pool, address, slot)
 
 
-def keep(pool: Pool, slot: Slot) -> bool:
+def try_release(pool: Pool, slot: PooledConnection) -> bool:
     """Make a connection idle if its exchange has ended cleanly; return whether it has.
 
     :param pool: the pool.
     :param slot: from :func:`acquire`.
     """
-    if slot.conn is None or slot.is_spent or not wire.is_drained(slot.conn):
+    if slot.conn is None or slot.must_close or not wire.is_drained(slot.conn):
         return False
     if not wire.recycle(slot.conn):
         return False
-    liveness.note_idle(slot.life, pool.now())
-    _wake(pool)
+    liveness.record_idle(slot.state, pool.now())
+    _notify_freed(pool)
     return True
 
 
-def note_refused(slot: Slot, request_id: str, *, is_named: bool) -> None:
+def record_refusal(slot: PooledConnection, request_id: str, *, names_request: bool) -> None:
     """Note that a request was turned away on a connection.
 
     :param slot: from :func:`acquire`.
     :param request_id: the request.
     :param is_named: whether the refusal names it; others can't be told from each other.
     """
-    slot.refused.add(request_id)
-    if not is_named or len(slot.refused) >= MOST_REFUSALS:
-        slot.is_spent = True
+    slot.refused_ids.add(request_id)
+    if not names_request or len(slot.refused_ids) >= MAX_REFUSALS:
+        slot.must_close = True
 
 
-def give_back(pool: Pool, slot: Slot) -> None:
+def release_unused(pool: Pool, slot: PooledConnection) -> None:
     """Make a connection idle on which nothing was sent.
 
     :param pool: the pool.
     :param slot: from :func:`acquire`.
     """
-    slot.life.phase = liveness.Phase.IDLE
-    _wake(pool)
+    slot.state.phase = liveness.Phase.IDLE
+    _notify_freed(pool)
 
 
-async def discard(pool: Pool, address: identity.Address, slot: Slot) -> None:
+async def discard(pool: Pool, address: identity.Address, slot: PooledConnection) -> None:
     """Close a connection at once.
 
     :param pool: the pool.
     :param address: the other end.
     :param slot: from :func:`acquire`.
     """
-    _drop(pool, address, slot)
+    _remove(pool, address, slot)
     if slot.conn is not None:
         await wire.close(slot.conn)
 
 
-async def drop_idle(pool: Pool, address: identity.Address) -> None:
+async def close_idle(pool: Pool, address: identity.Address) -> None:
     """Close the idle connections to an address, after its process was replaced.
 
     :param pool: the pool.
     :param address: the other end.
     """
-    for slot in list(pool.slots[address].values()):
-        if slot.life.phase is liveness.Phase.IDLE:
+    for slot in list(pool.connections[address].values()):
+        if slot.state.phase is liveness.Phase.IDLE:
             await discard(pool, address, slot)
 
 
@@ -230,18 +232,18 @@
     :param pool: the pool.
     :param p99_s: 99th percentile of the latency in seconds, if known.
     """
-    for address, slots in list(pool.slots.items()):
-        lives = {name: slot.life for name, slot in slots.items()}
+    for address, slots in list(pool.connections.items()):
+        lives = {name: slot.state for name, slot in slots.items()}
         for name in liveness.find_idle(lives, now=pool.now()):
             idle = slots.get(name)
             # It may have been taken or retired while another one was closed.
-            if idle is not None and idle.life.phase is liveness.Phase.IDLE:
+            if idle is not None and idle.state.phase is liveness.Phase.IDLE:
                 await discard(pool, address, idle)
-        lives = {name: slot.life for name, slot in slots.items()}
+        lives = {name: slot.state for name, slot in slots.items()}
         for name in liveness.find_silent(lives, now=pool.now(), p99_s=p99_s):
-            if not slots[name].is_repeatable or slots[name].is_begun():
+            if not slots[name].is_repeatable or slots[name].is_reply_begun():
                 continue
-            slots[name].cut = Cut.SILENT
+            slots[name].abort_reason = AbortReason.SILENT
             slots[name].scope.cancel()
             decision.record(
                 log,
@@ -251,10 +253,10 @@
                 reason="no progress while other connections progress",
             )
         if not slots:
-            pool.slots.pop(address, None)
+            pool.connections.pop(address, None)
 
 
-def find_doubtful(pool: Pool, *, p99_s: float | None) -> list[identity.Address]:
+def find_unresponsive(pool: Pool, *, p99_s: float | None) -> list[identity.Address]:
     """Return the addresses that have not answered for too long on any connection.
 
     :param pool: the pool.
@@ -262,9 +264,9 @@
     """
     return [
         address
-        for address, slots in pool.slots.items()
-        if liveness.judge(
-            {name: slot.life for name, slot in slots.items()}, now=pool.now(), p99_s=p99_s
+        for address, slots in pool.connections.items()
+        if liveness.assess_health(
+            {name: slot.state for name, slot in slots.items()}, now=pool.now(), p99_s=p99_s
         )
         is not liveness.Health.PROGRESSING
     ]
@@ -277,11 +279,13 @@
     :param address: the other end.
     :param since: seconds on the node's clock.
     """
-    return any(slot.life.progress_at > since for slot in pool.slots.get(address, {}).values())
+    return any(
+        slot.state.progress_at > since for slot in pool.connections.get(address, {}).values()
+    )
 
 
-def abandon(
-    pool: Pool, address: identity.Address, *, since: float | None, patient_since: float | None
+def abort(
+    pool: Pool, address: identity.Address, *, cutoff: float | None, lenient_cutoff: float | None
 ) -> None:
     """End the requests that have waited for an address in vain.
 
@@ -295,22 +299,22 @@
     :param patient_since: the same for those that may not be sent again, and those whose answer is
         arriving.
     """
-    for slot in pool.slots.get(address, {}).values():
-        is_patient = slot.is_arriving or not slot.is_repeatable
-        silent_since = patient_since if is_patient else since
-        if silent_since is None or slot.is_begun():
+    for slot in pool.connections.get(address, {}).values():
+        is_patient = slot.has_response_head or not slot.is_repeatable
+        silent_since = lenient_cutoff if is_patient else cutoff
+        if silent_since is None or slot.is_reply_begun():
             continue
-        if liveness.is_silent(slot.life, silent_since):
-            slot.cut = Cut.UNREACHABLE
+        if liveness.is_silent(slot.state, silent_since):
+            slot.abort_reason = AbortReason.UNREACHABLE
             slot.scope.cancel()
 
 
-def _drop(pool: Pool, address: identity.Address, slot: Slot) -> None:
-    pool.slots[address].pop(slot.name, None)
-    _wake(pool)
+def _remove(pool: Pool, address: identity.Address, slot: PooledConnection) -> None:
+    pool.connections[address].pop(slot.connection_id, None)
+    _notify_freed(pool)
 
 
-def _wake(pool: Pool) -> None:
+def _notify_freed(pool: Pool) -> None:
     if pool.freed.statistics().tasks_waiting:
         pool.freed.set()
         pool.freed = trio.Event()
--- a/src/ebonyvalve/connection/wire.py
+++ b/src/ebonyvalve/connection/wire.py
@@ -15,7 +15,7 @@
 READ_BYTES = 65_536
 MAX_HEAD_BYTES = 32_768
 # A read may bring thousands of tiny pieces; other tasks run between so many of them.
-EVENTS_PER_TURN = 32
+MAX_EVENTS_BEFORE_YIELD = 32
 # Where ``struct tcp_info`` of Linux holds the milliseconds since data last came.
 LAST_DATA_OFFSET = 52
 LAST_DATA = struct.Struct("=I")
@@ -39,11 +39,11 @@
 
     stream: trio.abc.Stream
     http: h11.Connection
-    progress: int = 0
+    received_bytes: int = 0
     is_reused: bool = False
     is_writing: bool = False
     # Events since other tasks have run.
-    events: int = 0
+    events_since_yield: int = 0
     # One task may read a body while another answers; both may have to write.
     sending: trio.Lock = dataclasses.field(default_factory=trio.Lock)
 
@@ -78,10 +78,10 @@
     :param wire: the connection.
     """
     while True:
-        if wire.events >= EVENTS_PER_TURN:
-            wire.events = 0
+        if wire.events_since_yield >= MAX_EVENTS_BEFORE_YIELD:
+            wire.events_since_yield = 0
             await trio.lowlevel.checkpoint()
-        wire.events += 1
+        wire.events_since_yield += 1
         try:
             event = wire.http.next_event()
         except h11.RemoteProtocolError:
@@ -95,8 +95,8 @@
             data = await wire.stream.receive_some(READ_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return result.Failure(WireFailure.CLOSED)
-        wire.events = 0
-        wire.progress += len(data)
+        wire.events_since_yield = 0
+        wire.received_bytes += len(data)
         wire.http.receive_data(bytes(data))
 
 
@@ -105,9 +105,9 @@
 
     :param wire: the connection.
     """
-    if wire.events >= EVENTS_PER_TURN:
+    if wire.events_since_yield >= MAX_EVENTS_BEFORE_YIELD:
         return None
-    wire.events += 1
+    wire.events_since_yield += 1
     try:
         event = wire.http.next_event()
     except h11.RemoteProtocolError:
@@ -116,7 +116,7 @@
     return event if isinstance(event, h11.Data | h11.EndOfMessage) else None
 
 
-def find_closed(wire: Wire) -> bool:
+def is_closed_by_peer(wire: Wire) -> bool:
     """Return whether the peer has closed the connection, without waiting.
 
     The close is seen behind bytes that the peer has sent before it, and these are left unread: they
@@ -150,11 +150,11 @@
 
     :param wire: a client's side on which one exchange has ended.
     """
-    left, is_closed = wire.http.trailing_data
-    return not left and not is_closed
+    trailing, is_closed = wire.http.trailing_data
+    return not trailing and not is_closed
 
 
-def find_age(wire: Wire) -> float:
+def read_data_age(wire: Wire) -> float:
     """Return how many seconds ago the peer's last bytes came, as far as the kernel says.
 
     A process that is short of time reads them later.
@@ -232,7 +232,7 @@
     :param wire: a server's side whose request's head has been read.
     """
     if wire.http.their_state is h11.SEND_BODY or not await drain(wire):
-        await _wait_hung_up(wire)
+        await _wait_for_hangup(wire)
 
 
 async def drain(wire: Wire) -> bool:
@@ -251,7 +251,7 @@
     return False
 
 
-async def _wait_hung_up(wire: Wire) -> None:
+async def _wait_for_hangup(wire: Wire) -> None:
     """Return when the peer closes the connection, without reading.
 
     Only sockets show that; other streams are waited for in vain.
@@ -296,13 +296,13 @@
     """
     if wire.http.our_state is not h11.DONE or wire.http.their_state is not h11.DONE:
         return False
-    left, is_closed = wire.http.trailing_data
+    trailing, is_closed = wire.http.trailing_data
     http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
     # h11 ties an answer to a request of its own; the real one is on its way already.
     http.send(h11.Request(method="GET", target="/", headers=[("host", "-")]))
     http.send(h11.EndOfMessage())
-    if left:
-        http.receive_data(left)
+    if trailing:
+        http.receive_data(trailing)
     wire.http = http
     return not is_closed
 
--- a/src/ebonyvalve/platform/inquiry.py
+++ b/src/ebonyvalve/platform/admin.py
@@ -33,10 +33,10 @@
 
 def _explain(entry: origin.Origin, query: str) -> http.Reply:
     """Answer for a request of which ``host``, ``path`` and perhaps ``key`` are given."""
-    asked = dict(urllib.parse.parse_qsl(query))
-    key = asked.get("key", "")
-    slot = decoding.read_count(key, most=identity.LAST_SLOT)
-    if not asked.get("host") or not asked.get("path") or (key and slot is None):
+    params = dict(urllib.parse.parse_qsl(query))
+    key = params.get("key", "")
+    key_slot = decoding.read_count(key, most=identity.LAST_SLOT)
+    if not params.get("host") or not params.get("path") or (key and key_slot is None):
         return http.Reply(status=400, body=b"{}")
-    lines = explanation.explain(entry, asked["host"].lower(), asked["path"], slot)
+    lines = explanation.explain(entry, params["host"].lower(), params["path"], key_slot)
     return http.Reply(status=200, body=msgspec.json.encode(lines))
--- a/src/ebonyvalve/platform/announcement.py
+++ b/src/ebonyvalve/platform/announcement.py
@@ -11,10 +11,10 @@
 
 PATH = "/instances/"
 # A start after the year 5000 would hide every later lifetime.
-MOST_BORN_MS = 10**14
-MOST_COLD_S = 86_400.0
-Born = typing.Annotated[int, msgspec.Meta(ge=0, le=MOST_BORN_MS)]
-Cold = typing.Annotated[float, msgspec.Meta(ge=-MOST_COLD_S, le=MOST_COLD_S)]
+MAX_BORN_MS = 10**14
+MAX_COLD_S = 86_400.0
+BornMs = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_BORN_MS)]
+ColdSeconds = typing.Annotated[float, msgspec.Meta(ge=-MAX_COLD_S, le=MAX_COLD_S)]
 Slots = typing.Annotated[int, msgspec.Meta(ge=0, le=decoding.MOST_SLOTS)]
 # Goes into the service's ledger, whose row has a bounded size.
 Handover = typing.Annotated[str, msgspec.Meta(max_length=decoding.MOST_NAME_BYTES)]
@@ -34,7 +34,7 @@
 
     state: str
     seq: decoding.Count
-    cold_left_s: Cold = 0.0
+    cold_left_s: ColdSeconds = 0.0
 
 
 class Document(msgspec.Struct, kw_only=True):
@@ -43,7 +43,7 @@
     address: str
     info: Info
     status: Status
-    born: Born = 0
+    born: BornMs = 0
     holds: list[tuple[decoding.Key, decoding.Key, decoding.Count]] = []
     released: list[tuple[decoding.Key, decoding.Key, Handover]] = []
 
@@ -75,7 +75,7 @@
     wire = decoded.unwrap()
     return Announcement(
         report=grant.Report(
-            lifetime=name_lifetime(name, wire.born),
+            lifetime=build_lifetime(name, wire.born),
             sequence=wire.status.seq,
             holds=tuple(wire.holds),
             released=tuple(wire.released),
@@ -101,7 +101,7 @@
     return ""
 
 
-def name_lifetime(name: str, born_ms: int) -> identity.Lifetime:
+def build_lifetime(name: str, born_ms: int) -> identity.Lifetime:
     """Return the name of one lifetime of a target.
 
     :param name: the target's id.
@@ -110,7 +110,7 @@
     return identity.Lifetime(f"{name}@{born_ms}")
 
 
-def read_target(lifetime: identity.Lifetime) -> str:
+def read_target_id(lifetime: identity.Lifetime) -> str:
     """Return the target's id.
 
     :param lifetime: made by :func:`name_lifetime`.
@@ -118,14 +118,14 @@
     return lifetime.rpartition("@")[0]
 
 
-def encode(given: grant.Grant | None) -> bytes:
+def encode(issued: grant.Grant | None) -> bytes:
     """Return the answer to a report.
 
     :param given: what the target is to hold, or ``None`` for a service without keys.
     """
-    if given is None or given.spans is None:
+    if issued is None or issued.spans is None:
         return b"{}"
     rows: list[typing.Any] = [
-        [span.first, span.last, span.fence, span.handover] for span in given.spans
+        [span.first, span.last, span.fence, span.handover] for span in issued.spans
     ]
-    return msgspec.json.encode({"holds": rows, "hold_s": round(given.hold_s, 3)})
+    return msgspec.json.encode({"holds": rows, "hold_s": round(issued.hold_s, 3)})
--- a/src/ebonyvalve/platform/configuration.py
+++ b/src/ebonyvalve/platform/configuration.py
@@ -10,19 +10,19 @@
 from ebonyvalve.process.load import policy
 from ebonyvalve.version import traffic
 
-ONCE = "non_idempotent"
-VERSION = re.compile(r"[0-9A-Fa-f]{1,8}\Z")
-MOST_WAIT_S = 1e6
-Wait = typing.Annotated[float, msgspec.Meta(ge=0, le=MOST_WAIT_S)]
+NON_IDEMPOTENT = "non_idempotent"
+VERSION_PATTERN = re.compile(r"[0-9A-Fa-f]{1,8}\Z")
+MAX_DURATION_S = 1e6
+Duration = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_DURATION_S)]
 Weight = typing.Annotated[float, msgspec.Meta(ge=-decoding.MOST_LOAD, le=decoding.MOST_LOAD)]
-KINDS = {
+ROUTE_TYPES = {
     "idempotent": traffic.Repeatability.IDEMPOTENT,
     "download": traffic.Repeatability.IDEMPOTENT,
-    ONCE: traffic.Repeatability.AT_MOST_ONCE,
+    NON_IDEMPOTENT: traffic.Repeatability.AT_MOST_ONCE,
 }
 
 
-class Part(msgspec.Struct, kw_only=True):
+class SplitEntry(msgspec.Struct, kw_only=True):
     """One service of a split route."""
 
     backend: str
@@ -35,12 +35,12 @@
     hostname: str
     prefix: str
     type: str
-    timeout_s: Wait
-    goal_s: Wait = 0.0
+    timeout_s: Duration
+    goal_s: Duration = 0.0
     attempts: decoding.Count = 1
     priority: decoding.Count = 0
     backend: str = ""
-    split: list[Part] = []
+    split: list[SplitEntry] = []
 
 
 class ServiceSpec(msgspec.Struct, kw_only=True):
@@ -48,10 +48,10 @@
 
     health_path: str = "/"
     max_conns: decoding.Count = 100
-    cold_s: Wait = 0.0
+    cold_s: Duration = 0.0
     cold_per_s: decoding.Load = 0.0
     sharded: bool = False
-    warmup_s: Wait = 0.0
+    warmup_s: Duration = 0.0
 
 
 class LimitsSpec(msgspec.Struct, kw_only=True):
@@ -59,8 +59,8 @@
 
     max_header_bytes: decoding.Count = 16_384
     max_body_bytes: decoding.Count = 67_108_864
-    header_timeout_s: Wait = 3.0
-    idle_timeout_s: Wait = 15.0
+    header_timeout_s: Duration = 3.0
+    idle_timeout_s: Duration = 15.0
 
 
 class Meta(msgspec.Struct, kw_only=True):
@@ -116,7 +116,7 @@
 
     :param document: the configuration.
     """
-    if not VERSION.match(document.version):
+    if not VERSION_PATTERN.match(document.version):
         return f"version {document.version!r} is not 1 to 8 hexadecimal digits"
     for resource in document.resources:
         # Names of routes and services go into headers between nodes.
@@ -128,9 +128,9 @@
 
 def _decode_route(name: str, spec: msgspec.Raw) -> traffic.Route:
     wire = msgspec.json.decode(spec, type=RouteSpec)
-    if wire.type not in KINDS:
+    if wire.type not in ROUTE_TYPES:
         raise msgspec.ValidationError(f'type "{wire.type}" is unknown')
-    parts = wire.split or [Part(backend=wire.backend, weight=1)]
+    parts = wire.split or [SplitEntry(backend=wire.backend, weight=1)]
     return traffic.Route(
         name=name,
         host=wire.hostname.lower(),
@@ -139,7 +139,7 @@
             traffic.Share(service=identity.ServiceId(part.backend), weight=part.weight)
             for part in parts
         ),
-        repeatability=KINDS[wire.type],
+        repeatability=ROUTE_TYPES[wire.type],
         timeout_s=wire.timeout_s,
         objective_s=wire.goal_s or wire.timeout_s,
         attempts=wire.attempts,
--- a/src/ebonyvalve/platform/daemon.py
+++ b/src/ebonyvalve/platform/daemon.py
@@ -15,7 +15,7 @@
 
 from ebonyvalve import errors
 from ebonyvalve.connection import pool
-from ebonyvalve.platform import dialect, news, operator, reload, reports, settings, sockets, store
+from ebonyvalve.platform import dialect, gossip, operator, reload, reports, settings, sockets, store
 from ebonyvalve.process import budget, decision, http, identity, network, signals, timer
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process import place as place_module
@@ -43,14 +43,14 @@
 READY_PATH = "/readyz"
 LAST_PORT = 65_535
 # Two misses of one probe a second take a node out; requests may still come until then.
-LEAVE_S = 2.3
+UNREADY_S = 2.3
 # What is left of the grace for ending the process itself.
 EXIT_MARGIN_S = 0.5
-SWEEP_S = 0.25
-DRAIN_POLL_S = 0.02
-MOST_CONNECTIONS = 2000
+SWEEP_INTERVAL_S = 0.25
+DRAIN_POLL_INTERVAL_S = 0.02
+MAX_CONNECTIONS = 2000
 # Of a message of another node, which gives up sooner.
-PUSH_BYTES = 1_048_576
+MAX_PUSH_BYTES = 1_048_576
 PUSH_TIMEOUT_S = 2.0
 
 
@@ -59,7 +59,7 @@
     """Everything that the process runs."""
 
     node: node_module.Node
-    steward: records.Steward
+    reconciler: records.Steward
     origin: origin.Origin
     callers: front.Front
     peers: front.Front
@@ -98,15 +98,17 @@
     decision.record(log, logging.INFO, "start", node=place.node, service=place.service)
     async with signals.open_receiver() as received, trio.open_nursery() as nursery:
         for task in (
-            functools.partial(records.follow_mesh, daemon.steward),
-            functools.partial(presence.announce, daemon.steward),
-            functools.partial(tenure.keep_lease, daemon.steward),
-            functools.partial(steward.tend, daemon.steward),
-            functools.partial(records.push_ledger, daemon.steward),
+            functools.partial(records.follow_mesh, daemon.reconciler),
+            functools.partial(presence.announce, daemon.reconciler),
+            functools.partial(tenure.keep_lease, daemon.reconciler),
+            functools.partial(steward.tend, daemon.reconciler),
+            functools.partial(records.push_ledger, daemon.reconciler),
             functools.partial(
-                operator.follow, daemon.node, daemon.origin.current, daemon.steward.store
+                operator.follow, daemon.node, daemon.origin.current, daemon.reconciler.store
+            ),
+            functools.partial(
+                gossip.pull_updates, daemon.node, daemon.origin.current, sockets.connect
             ),
-            functools.partial(news.learn, daemon.node, daemon.origin.current, sockets.connect),
             functools.partial(delivery.run_queue, daemon.origin.delivery),
             functools.partial(crash.run, daemon.origin.delivery.crashes),
             functools.partial(sweep, daemon),
@@ -114,9 +116,9 @@
         ):
             nursery.start_soon(task)
         nursery.start_soon(
-            sockets.listen, place.reports_address, reports.build_reports(daemon.steward)
+            sockets.listen, place.reports_address, reports.build_report_server(daemon.reconciler)
         )
-        ready = build_ready(daemon)
+        ready = build_ready_server(daemon)
         nursery.start_soon(sockets.listen, place.ready_address, ready)
         metrics = find_metrics_address(place, os.environ.get(METRICS_VARIABLE, ""))
         if metrics is not None:
@@ -158,20 +160,20 @@
         address=place.store_address,
         connect=sockets.connect,
         now=now,
-        on_return=functools.partial(node_module.look_again, node),
+        on_recovery=functools.partial(node_module.look_again, node),
     )
-    keeper = records.Steward(node=node, store=store.open_store(client), connect=sockets.connect)
-    targets = pool.Pool(connect=sockets.connect, now=now)
+    reconciler = records.Steward(node=node, store=store.open_store(client), connect=sockets.connect)
+    target_pool = pool.Pool(connect=sockets.connect, now=now)
     local = delivery.Delivery(
         node=node,
-        pool=targets,
-        dialect=dialect.open_dialect(),
-        crashes=crash.Watch(node=node, pool=targets, connect=sockets.connect),
+        pool=target_pool,
+        dialect=dialect.build_dialect(),
+        crashes=crash.Watch(node=node, pool=target_pool, connect=sockets.connect),
     )
     entry = origin.Origin(
         node=node,
         delivery=local,
-        peers=pool.Pool(connect=sockets.connect, now=now, bound=512),
+        peers=pool.Pool(connect=sockets.connect, now=now, max_connections=512),
         current=traffic.CurrentTraffic(),
     )
     callers = front.Front(
@@ -181,20 +183,20 @@
         is_hop=False,
         parse=dialect.build_parse(now),
         joins_head=True,
-        max_connections=MOST_CONNECTIONS,
+        max_connections=MAX_CONNECTIONS,
     )
     peers = front.Front(
         now=now,
-        handle=functools.partial(handle_peer, entry, keeper),
+        handle=functools.partial(handle_peer, entry, reconciler),
         find_limits=functools.partial(find_limits, entry.current),
         is_hop=True,
         parse=dialect.build_parse(now),
         joins_head=True,
-        max_connections=MOST_CONNECTIONS,
+        max_connections=MAX_CONNECTIONS,
     )
     return Daemon(
         node=node,
-        steward=keeper,
+        reconciler=reconciler,
         origin=entry,
         callers=callers,
         peers=peers,
@@ -219,7 +221,7 @@
 
 async def handle_peer(
     entry: origin.Origin,
-    keeper: records.Steward,
+    reconciler: records.Steward,
     call: exchange.Call,
     caller: exchange.Caller,
 ) -> outcome.Outcome:
@@ -232,7 +234,7 @@
     """
     # A hop has the path that its caller chose.
     if not relay.is_hop(call.headers):
-        answered = await take_message(entry, keeper, call, caller)
+        answered = await handle_message(entry, reconciler, call, caller)
         if answered is not None:
             return answered
     relay.take_seen(entry.node, call.headers)
@@ -244,8 +246,8 @@
     return await origin.serve_hop(entry, call, caller)
 
 
-async def take_message(
-    entry: origin.Origin, keeper: records.Steward, call: exchange.Call, caller: exchange.Caller
+async def handle_message(
+    entry: origin.Origin, reconciler: records.Steward, call: exchange.Call, caller: exchange.Caller
 ) -> outcome.Outcome | None:
     """Answer a message of another node, or return ``None`` if it is none.
 
@@ -256,16 +258,16 @@
     """
     if call.path.startswith(reachability.PING_PATH):
         return await acknowledge(caller, reachability.answer(entry.node, call.path))
-    if call.path.startswith(news.NEWS_PATH):
-        told = news.tell(entry.node, call.path)
-        return await acknowledge(caller, 400 if told is None else 200, told or b"")
+    if call.path.startswith(gossip.GOSSIP_PATH):
+        update = gossip.encode_update(entry.node, call.path)
+        return await acknowledge(caller, 400 if update is None else 200, update or b"")
     if call.path.startswith(records.LEDGER_PATH) or call.path == crash.CRASH_PATH:
-        return await take_push(entry, keeper, call, caller)
+        return await handle_push(entry, reconciler, call, caller)
     return None
 
 
-async def take_push(
-    entry: origin.Origin, keeper: records.Steward, call: exchange.Call, caller: exchange.Caller
+async def handle_push(
+    entry: origin.Origin, reconciler: records.Steward, call: exchange.Call, caller: exchange.Caller
 ) -> outcome.Outcome:
     """Take what another node tells: a ledger, or what its target was running when it crashed.
 
@@ -276,7 +278,7 @@
     """
     body = bytearray(call.prefix)
     with trio.move_on_after(PUSH_TIMEOUT_S):
-        while not call.is_whole and len(body) <= PUSH_BYTES:
+        while not call.is_whole and len(body) <= MAX_PUSH_BYTES:
             chunk = await caller.receive()
             if not isinstance(chunk, result.Success):
                 break
@@ -286,10 +288,10 @@
     if not call.is_whole:
         return outcome.refuse(outcome.Reason.BODY_BROKEN)
     if call.path == crash.CRASH_PATH:
-        is_taken = crash.take_push(entry.delivery.crashes, bytes(body))
+        is_applied = crash.take_push(entry.delivery.crashes, bytes(body))
     else:
-        is_taken = records.take_push(keeper, call.path, bytes(body))
-    return await acknowledge(caller, 204 if is_taken else 400)
+        is_applied = records.take_push(reconciler, call.path, bytes(body))
+    return await acknowledge(caller, 204 if is_applied else 400)
 
 
 async def acknowledge(caller: exchange.Caller, status: int, body: bytes = b"") -> outcome.Outcome:
@@ -315,7 +317,7 @@
     return 60.0, current.traffic.limits.max_body_bytes
 
 
-def build_ready(daemon: Daemon) -> network.Serve:
+def build_ready_server(daemon: Daemon) -> network.Serve:
     """Return what tells the platform whether callers may come, and operators what they ask.
 
     :param daemon: the daemon.
@@ -324,9 +326,9 @@
     async def respond(request: http.Request) -> http.Reply:
         if request.path != READY_PATH:
             # Most processes are never asked, and memory is priced.
-            from ebonyvalve.platform import inquiry
+            from ebonyvalve.platform import admin
 
-            return inquiry.answer(daemon.origin, request.path)
+            return admin.answer(daemon.origin, request.path)
         is_fine = node_module.is_ready(daemon.node)
         return http.Reply(status=200 if is_fine else 503, body=b"{}")
 
@@ -362,7 +364,7 @@
 
     :param daemon: the daemon.
     """
-    ticks = timer.subscribe(daemon.timer, period_s=SWEEP_S)
+    ticks = timer.subscribe(daemon.timer, period_s=SWEEP_INTERVAL_S)
     while True:
         await timer.tick(daemon.timer, ticks)
         await reachability.look(daemon.watch)
@@ -384,10 +386,10 @@
     grace_s = daemon.node.place.grace_s - EXIT_MARGIN_S
     daemon.node.is_stopping = True
     with trio.move_on_after(grace_s):
-        await node_module.pause(daemon.node, LEAVE_S)
+        await node_module.pause(daemon.node, UNREADY_S)
         daemon.node.is_ending = True
         front.stop(daemon.callers)
-        polled = timer.subscribe(daemon.timer, period_s=DRAIN_POLL_S)
+        polled = timer.subscribe(daemon.timer, period_s=DRAIN_POLL_INTERVAL_S)
         while daemon.callers.busy or daemon.peers.busy:
             await timer.tick(daemon.timer, polled)
     delivery.end_all(daemon.origin.delivery)
--- a/src/ebonyvalve/platform/dialect.py
+++ b/src/ebonyvalve/platform/dialect.py
@@ -17,22 +17,24 @@
 EXPECT_TARGET = b"x-expect-instance"
 NOT_RUN = b"x-not-executed"
 # The service of the VM on which the request began.
-CALLER = b"x-caller-service"
-KEY = b"x-shard-key"
-ENCODING = b"content-encoding"
+CALLER_SERVICE = b"x-caller-service"
+SHARD_KEY = b"x-shard-key"
+CONTENT_ENCODING = b"content-encoding"
 MISDIRECTED = 421
 # To callers these promise that the request has not run and never will.
-PROMISES = frozenset({408, MISDIRECTED, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, MISDIRECTED, 429, 503})
 # Set by the router on the way to a target, whatever a caller sent.
-OWN = {BUDGET_MS, EXPECT_TARGET, CALLER}
+ROUTER_HEADERS = {BUDGET_MS, EXPECT_TARGET, CALLER_SERVICE}
 
 
-def open_dialect() -> delivery.Dialect:
+def build_dialect() -> delivery.Dialect:
     """Return how targets are spoken to."""
-    return delivery.Dialect(dress=dress, judge=judge, identify=identify)
+    return delivery.Dialect(dress=build_headers, judge=classify_reply, identify=correlate)
 
 
-def dress(call: exchange.Call, lifetime: identity.Lifetime, budget_s: float) -> exchange.Headers:
+def build_headers(
+    call: exchange.Call, lifetime: identity.Lifetime, budget_s: float
+) -> exchange.Headers:
     """Return the headers that the router sets on a request to a target.
 
     :param call: the request, with its rules.
@@ -43,12 +45,12 @@
     assert rules is not None
     return [
         (BUDGET_MS, str(max(1, int(budget_s * 1000))).encode()),
-        (EXPECT_TARGET, announcement.read_target(lifetime).encode()),
-        (CALLER, rules.origin.encode()),
+        (EXPECT_TARGET, announcement.read_target_id(lifetime).encode()),
+        (CALLER_SERVICE, rules.origin.encode()),
     ]
 
 
-def judge(status: int, headers: exchange.Headers) -> delivery.Judgement:
+def classify_reply(status: int, headers: exchange.Headers) -> delivery.Judgement:
     """Say what an answer of the target is.
 
     :param status: its status code.
@@ -60,12 +62,12 @@
     if NOT_RUN in names:
         return delivery.Judgement.NOT_RUN
     is_unsealed = 200 <= status < 300 and SEAL not in names
-    if ENCODING in names or is_unsealed or status in PROMISES:
+    if CONTENT_ENCODING in names or is_unsealed or status in NOT_RUN_STATUSES:
         return delivery.Judgement.SPOILED
     return delivery.Judgement.ANSWER
 
 
-def identify(headers: exchange.Headers, request_id: str) -> proof.Naming:
+def correlate(headers: exchange.Headers, request_id: str) -> proof.Naming:
     """Return which request an answer names.
 
     Targets name the request in what they answer. A sealed answer that names none can't be told
@@ -116,15 +118,21 @@
     """
     host = wire.find_header(call.headers, b"host") or b""
     budget = wire.find_header(call.headers, BUDGET_MS)
-    slot = wire.find_header(call.headers, KEY)
+    key_slot_header = wire.find_header(call.headers, SHARD_KEY)
     call.headers = [
-        pair for pair in call.headers if pair[0] not in OWN and not pair[0].startswith(relay.PREFIX)
+        pair
+        for pair in call.headers
+        if pair[0] not in ROUTER_HEADERS and not pair[0].startswith(relay.PREFIX)
     ]
     return origin.Head(
         request_id=call.request_id,
         host=host.decode("latin-1").partition(":")[0].lower(),
         budget_s=_read_ms(budget),
-        slot=None if slot is None else decoding.read_count(slot, most=identity.LAST_SLOT),
+        slot=(
+            None
+            if key_slot_header is None
+            else decoding.read_count(key_slot_header, most=identity.LAST_SLOT)
+        ),
     )
 
 
--- a/src/ebonyvalve/platform/operator.py
+++ b/src/ebonyvalve/platform/operator.py
@@ -15,15 +15,15 @@
 
 log = logging.getLogger(__name__)
 
-OPERATOR = table.TableName("op")
-CONFIG = "config"
-EVACUATE = "evacuate/"
-FOLLOW_S = 10.0
+OPERATOR_TABLE = table.TableName("op")
+CONFIG_KEY = "config"
+EVACUATE_PREFIX = "evacuate/"
+FOLLOW_WAIT_S = 10.0
 RETRY_S = 0.25
 # The store answers all nodes that follow it within this time of each other.
-PATIENCE_S = 0.05
+PROPAGATION_S = 0.05
 # A line of the log is read as a whole; the status of the node has all reasons.
-MOST_REASONS = 4000
+MAX_REASONS_LENGTH = 4000
 
 
 async def follow(
@@ -40,12 +40,12 @@
         is_whole = not node.is_operator_known
         read: table.Rows | table.Trouble | None
         if is_whole:
-            read = await store.read(OPERATOR)
+            read = await store.read(OPERATOR_TABLE)
         else:
             # Asked without waiting, the store says whether it has what another node has named.
-            wait_s = 0.0 if node_module.is_behind(node) else FOLLOW_S
+            wait_s = 0.0 if node_module.is_behind(node) else FOLLOW_WAIT_S
             read = await follow_module.interrupt(
-                functools.partial(store.follow, OPERATOR, version, wait_s),
+                functools.partial(store.follow, OPERATOR_TABLE, version, wait_s),
                 node.operator_recheck.wait,
             )
             if read is None:
@@ -67,12 +67,12 @@
             await node_module.pause(node, RETRY_S * (1 + node.draw()))
 
 
-async def await_news(node: node_module.Node) -> None:
+async def await_update(node: node_module.Node) -> None:
     """Wait a moment for rows that another node has already applied.
 
     :param node: the node.
     """
-    with trio.move_on_after(PATIENCE_S):
+    with trio.move_on_after(PROPAGATION_S):
         while node_module.is_behind(node):
             await node.changed.wait()
 
@@ -83,7 +83,7 @@
     read: table.Rows,
     *,
     is_whole: bool,
-    reached: int = 0,
+    complete_to: int = 0,
 ) -> None:
     """Apply those rows of the operator that are newer than the known ones.
 
@@ -97,10 +97,10 @@
         known; the store's versions count other rows too.
     """
     known = node.operator_rows
-    fresh = [row for row in read.rows if row.version > _read_version(node, row.name.key)]
+    fresh = [row for row in read.rows if row.version > _find_known_version(node, row.name.key)]
     known.update({row.name.key: row for row in fresh})
     newest = max((row.version for row in read.rows), default=0)
-    node.operator_version = max(node.operator_version, newest, reached)
+    node.operator_version = max(node.operator_version, newest, complete_to)
     if is_whole:
         names = {row.name.key for row in read.rows}
         for key, row in list(known.items()):
@@ -110,7 +110,7 @@
         # When the missing rows were removed is not known.
         node.operator_since = node.operator_version
     for row in fresh:
-        if row.name.key == CONFIG and not row.is_removed:
+        if row.name.key == CONFIG_KEY and not row.is_removed:
             _apply_config(node, current, row)
     zones = list_evacuated(known.values())
     if zones != node.evacuated:
@@ -119,7 +119,7 @@
     node_module.pulse(node)
 
 
-def _read_version(node: node_module.Node, key: str) -> int:
+def _find_known_version(node: node_module.Node, key: str) -> int:
     """Return the version of a known row, or of the whole answer that lacked it."""
     row = node.operator_rows.get(key)
     return node.operator_whole if row is None else row.version
@@ -131,9 +131,9 @@
     :param rows: the operator's.
     """
     return frozenset(
-        identity.ZoneId(row.name.key.removeprefix(EVACUATE))
+        identity.ZoneId(row.name.key.removeprefix(EVACUATE_PREFIX))
         for row in rows
-        if row.name.key.startswith(EVACUATE) and not row.is_removed
+        if row.name.key.startswith(EVACUATE_PREFIX) and not row.is_removed
     )
 
 
@@ -143,7 +143,7 @@
         is_logged = node.refused == tuple(decoded)
         node.refused = tuple(decoded)
         if not is_logged:
-            reasons = "; ".join(decoded)[:MOST_REASONS]
+            reasons = "; ".join(decoded)[:MAX_REASONS_LENGTH]
             decision.record(log, logging.ERROR, "configuration-refused", reasons=reasons)
         return
     if node.config is not None and decoded.version <= node.config:
--- a/src/ebonyvalve/platform/reload.py
+++ b/src/ebonyvalve/platform/reload.py
@@ -14,9 +14,9 @@
 log = logging.getLogger(__name__)
 
 # The file may also change without a signal.
-LOOK_S = 5.0
+CHECK_INTERVAL_S = 5.0
 # The process can't become another node or listen elsewhere; these wait for its next start.
-FIXED = (
+RESTART_FIELDS = (
     "node",
     "zone",
     "service",
@@ -52,7 +52,7 @@
             if body != known:
                 await apply(node, client, body)
             known = body
-        with trio.move_on_after(LOOK_S):
+        with trio.move_on_after(CHECK_INTERVAL_S):
             await reload.wait()
 
 
@@ -71,10 +71,12 @@
     old = node.place
     if new == old:
         return
-    waiting = [name for name in FIXED if getattr(new, name) != getattr(old, name)]
-    if waiting:
-        decision.record(log, logging.WARNING, "settings-wait-for-restart", fields=",".join(waiting))
-    node.place = dataclasses.replace(new, **{name: getattr(old, name) for name in FIXED})
+    deferred = [name for name in RESTART_FIELDS if getattr(new, name) != getattr(old, name)]
+    if deferred:
+        decision.record(
+            log, logging.WARNING, "settings-wait-for-restart", fields=",".join(deferred)
+        )
+    node.place = dataclasses.replace(new, **{name: getattr(old, name) for name in RESTART_FIELDS})
     node.gate.uplink.rate = node.place.link_rate
     budget.set_share(node.budget, budget.choose_share(node.place.retries.ratio))
     budget.divide(node.budget, node.place.retries.slack, len(node.members))
--- a/src/ebonyvalve/platform/reports.py
+++ b/src/ebonyvalve/platform/reports.py
@@ -13,7 +13,7 @@
 REPORT_BYTES = 65_536
 
 
-def build_reports(keeper: records.Steward) -> network.Serve:
+def build_report_server(reconciler: records.Steward) -> network.Serve:
     """Return what takes the status reports of the target beside this node.
 
     :param keeper: what the node has in the table.
@@ -22,27 +22,27 @@
     async def respond(request: http.Request) -> http.Reply:
         name = request.path.partition("?")[0].removeprefix(announcement.PATH)
         if request.method == "PUT":
-            refusal = take_report(keeper, name, request.body)
+            refusal = apply_report(reconciler, name, request.body)
             if refusal is not None:
                 return refusal
-            await steward.await_keys(keeper)
-            given = steward.answer_report(keeper)
+            await steward.await_keys(reconciler)
+            given = steward.answer_report(reconciler)
             return http.Reply(status=200, body=announcement.encode(given))
         if request.method == "DELETE":
-            return take_leave(keeper, name)
+            return apply_leave(reconciler, name)
         return http.Reply(status=404, body=b"{}")
 
     return functools.partial(http.serve, respond, most_bytes=REPORT_BYTES)
 
 
-def take_report(keeper: records.Steward, name: str, body: bytes) -> http.Reply | None:
+def apply_report(reconciler: records.Steward, name: str, body: bytes) -> http.Reply | None:
     """Take a status report; return why it is refused, if it is.
 
     :param keeper: what the node has in the table.
     :param name: the target's id.
     :param body: the report.
     """
-    node = keeper.node
+    node = reconciler.node
     decoded = announcement.decode(name, body)
     if isinstance(decoded, str):
         decision.record(log, logging.WARNING, "report-unreadable", cause=decoded)
@@ -87,13 +87,13 @@
     return decoded.born_ms < known.born_ms
 
 
-def take_leave(keeper: records.Steward, name: str) -> http.Reply:
+def apply_leave(reconciler: records.Steward, name: str) -> http.Reply:
     """Note that a target says that it is gone.
 
     :param keeper: what the node has in the table.
     :param name: the target's id.
     """
-    target = keeper.node.target
-    if target is not None and announcement.read_target(target.lifetime) == name:
-        node_module.set_gone(keeper.node, "has left", is_dead=False)
+    target = reconciler.node.target
+    if target is not None and announcement.read_target_id(target.lifetime) == name:
+        node_module.set_gone(reconciler.node, "has left", is_dead=False)
     return http.Reply(status=200, body=b"{}")
--- a/src/ebonyvalve/platform/settings.py
+++ b/src/ebonyvalve/platform/settings.py
@@ -8,8 +8,8 @@
 from ebonyvalve import errors
 from ebonyvalve.process import decoding, identity, place
 
-MOST_BOUND = 1e6
-SWITCHES = ("true", "false")
+MAX_BOUND = 1e6
+BOOLEANS = ("true", "false")
 USED_BOUNDS = (
     "max_hold_s",
     "drain_s",
@@ -111,8 +111,8 @@
     for entry in wire.bounds:
         name, _, value = (part.strip() for part in entry.partition("="))
         # Bounds may also be true or false; none of those is used here.
-        if value not in SWITCHES:
-            bounds[name] = decoding.read_number(value, most=MOST_BOUND)
+        if value not in BOOLEANS:
+            bounds[name] = decoding.read_number(value, most=MAX_BOUND)
     fault = find_fault(wire, bounds)
     if fault:
         return result.Failure(fault)
@@ -141,5 +141,5 @@
             return f"{name}: {address!r} is not host:port"
     for name in USED_BOUNDS:
         if name in bounds and bounds[name] is None:
-            return f"bounds: {name} is no number from 0 to {MOST_BOUND:g}"
+            return f"bounds: {name} is no number from 0 to {MAX_BOUND:g}"
     return ""
--- a/src/ebonyvalve/platform/store.py
+++ b/src/ebonyvalve/platform/store.py
@@ -23,14 +23,14 @@
 FOLLOW_SLACK_S = 1.5
 PAGE_ROWS = 500
 # Of one table; 100,000 rows.
-MOST_PAGES = 200
+MAX_PAGES = 200
 OK = 200
 CONFLICT = 412
 GONE = 410
 # A table without rows may not be there yet.
 NO_TABLE = 404
 # With these the store says that nothing was done.
-REFUSED = (429, 503, 403, 507)
+REFUSED_STATUSES = (429, 503, 403, 507)
 # A page is an object with a list of rows, which are objects.
 ROW_DEPTH = 3
 
@@ -46,7 +46,7 @@
     removed: bool = False
 
 
-class WirePlace(msgspec.Struct, kw_only=True):
+class WireRowName(msgspec.Struct, kw_only=True):
     """What names a row whose value can't be read."""
 
     table: str
@@ -83,7 +83,7 @@
     address: str
     connect: network.Connect
     now: collections.abc.Callable[[], float]
-    on_return: collections.abc.Callable[[], None] = lambda: None
+    on_recovery: collections.abc.Callable[[], None] = lambda: None
     idle: list[tuple[trio.abc.Stream, h11.Connection]] = dataclasses.field(default_factory=list)
     is_reachable: bool = True
     unreadable: decoding.Unreadable = dataclasses.field(default_factory=decoding.Unreadable)
@@ -137,13 +137,13 @@
     idle, client.idle = client.idle, []
     for stream, _ in idle:
         await trio.aclose_forcefully(stream)
-    client.on_return()
+    client.on_recovery()
 
 
 async def _read_all(client: Client, name: table.TableName) -> table.Rows | table.Trouble:
     rows: list[table.Row] = []
     start = ""
-    for _ in range(MOST_PAGES):
+    for _ in range(MAX_PAGES):
         query = {"table": name, "part": "", "limit": PAGE_ROWS}
         if start:
             query["from"] = start
@@ -161,7 +161,7 @@
             return dataclasses.replace(page, rows=tuple(rows), has_more=False)
         # The smallest key above the last one.
         start = page.rows[-1].name.key + "\0"
-    decision.record(log, logging.ERROR, "store-table-too-long", table=name, pages=MOST_PAGES)
+    decision.record(log, logging.ERROR, "store-table-too-long", table=name, pages=MAX_PAGES)
     return table.Trouble.UNKNOWN
 
 
@@ -172,13 +172,15 @@
 ) -> table.Committed | table.Conflict | table.Trouble:
     names = {*expected, *writes}
     body: dict[str, object] = {
-        "precondition": [{**_spell(name), "ver": version} for name, version in expected.items()],
+        "precondition": [
+            {**_encode_name(name), "ver": version} for name, version in expected.items()
+        ],
         "puts": [
-            {**_spell(name), "value": base64.b64encode(value).decode()}
+            {**_encode_name(name), "value": base64.b64encode(value).decode()}
             for name, value in writes.items()
             if value is not None
         ],
-        "remove": [_spell(name) for name, value in writes.items() if value is None],
+        "remove": [_encode_name(name) for name, value in writes.items() if value is None],
     }
     if len({name.part for name in names}) > 1:
         body["across"] = True
@@ -195,7 +197,7 @@
     return table.Committed(version=decoded.version, clock=decoded.clock)
 
 
-def _spell(name: table.Name) -> dict[str, str]:
+def _encode_name(name: table.Name) -> dict[str, str]:
     return {"table": name.table, "part": name.part, "key": name.key}
 
 
@@ -208,7 +210,7 @@
         return table.Trouble.UNKNOWN
     decoded = decoding.decode(answer.body, WireRows)
     if not isinstance(decoded, result.Success):
-        decoded = _pick_readable(client, answer.body)
+        decoded = _decode_readable(client, answer.body)
     if not isinstance(decoded, result.Success):
         cause = decoded.failure()
         decision.record(log, logging.ERROR, "store-answer-unreadable", cause=cause)
@@ -223,7 +225,7 @@
     return table.Rows(rows=rows, version=wire.ver, clock=clock, has_more=wire.has_more)
 
 
-def _pick_readable(client: Client, body: bytes) -> result.Result[WireRows, str]:
+def _decode_readable(client: Client, body: bytes) -> result.Result[WireRows, str]:
     """Return an answer without the rows, or the values of rows, that can't be read."""
     split = decoding.decode(decoding.prune(body, ROW_DEPTH), WirePage)
     if not isinstance(split, result.Success):
@@ -233,8 +235,8 @@
     for raw in page.rows:
         row = decoding.decode(raw, WireRow)
         if not isinstance(row, result.Success):
-            place = decoding.decode(raw, WirePlace).value_or(None)
-            _note_unreadable(client, place or bytes(raw), row.failure())
+            place = decoding.decode(raw, WireRowName).value_or(None)
+            _record_unreadable(client, place or bytes(raw), row.failure())
             if place is not None:
                 rows.append(
                     WireRow(table=place.table, part=place.part, key=place.key, ver=place.ver)
@@ -245,7 +247,7 @@
     return result.Success(WireRows(rows=rows, ver=page.ver, now_s=now_s, has_more=page.has_more))
 
 
-def _note_unreadable(client: Client, place: WirePlace | WireRow | bytes, cause: str) -> None:
+def _record_unreadable(client: Client, place: WireRowName | WireRow | bytes, cause: str) -> None:
     """Log a row that can't be read, once for each of its versions."""
     if isinstance(place, bytes):
         name, version = repr(place[: decoding.MOST_CAUSE]), table.MISSING
@@ -258,7 +260,7 @@
     """Return a row; one whose value can't be read has an empty one, which no decoder accepts."""
     value = decoding.decode_base64(row.value)
     if not isinstance(value, result.Success):
-        _note_unreadable(client, row, value.failure())
+        _record_unreadable(client, row, value.failure())
     name = table.Name(table=table.TableName(row.table), part=row.part, key=row.key)
     return table.Row(name=name, value=value.value_or(b""), version=row.ver, is_removed=row.removed)
 
@@ -272,42 +274,46 @@
     timeout_s: float = CALL_TIMEOUT_S,
 ) -> Answer | table.Trouble:
     asked_at = client.now()
-    trouble = table.Trouble.UNKNOWN
+    failure = table.Trouble.UNKNOWN
     with trio.move_on_after(timeout_s):
         opened = await _take_idle(client) or await _connect(client)
         if isinstance(opened, table.Trouble):
-            return _note(client, opened)
-        done = False
+            return _record_reachability(client, opened)
+        is_complete = False
         try:
             reply = await _exchange(client, opened, method, target, body)
             if reply is not None:
-                done = True
+                is_complete = True
                 status, content = reply
-                if status in REFUSED:
-                    return _note(client, table.Trouble.UNAVAILABLE)
-                _note(client, None)
+                if status in REFUSED_STATUSES:
+                    return _record_reachability(client, table.Trouble.UNAVAILABLE)
+                _record_reachability(client, None)
                 return Answer(
                     status=status, body=content, asked_at=asked_at, answered_at=client.now()
                 )
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError, OSError):
-            trouble = table.Trouble.UNKNOWN
+            failure = table.Trouble.UNKNOWN
         finally:
-            if done and opened[1].our_state is h11.DONE and opened[1].their_state is h11.DONE:
+            if (
+                is_complete
+                and opened[1].our_state is h11.DONE
+                and opened[1].their_state is h11.DONE
+            ):
                 opened[1].start_next_cycle()
                 client.idle.append(opened)
             else:
                 with trio.CancelScope(shield=True):
                     await trio.aclose_forcefully(opened[0])
-    return _note(client, trouble)
+    return _record_reachability(client, failure)
 
 
 async def _take_idle(client: Client) -> tuple[trio.abc.Stream, h11.Connection] | None:
     """Return a kept connection on which nothing has come since its last answer."""
     while client.idle:
         stream, protocol = client.idle.pop()
-        left, is_closed = protocol.trailing_data
+        trailing, is_closed = protocol.trailing_data
         is_readable = isinstance(stream, trio.SocketStream) and stream.socket.is_readable()
-        if not (left or is_closed or is_readable):
+        if not (trailing or is_closed or is_readable):
             return stream, protocol
         await trio.aclose_forcefully(stream)
     return None
@@ -341,14 +347,14 @@
     return (reply.status_code, content) if isinstance(reply, h11.Response) else None
 
 
-def _note(client: Client, trouble: table.Trouble | None) -> table.Trouble:
+def _record_reachability(client: Client, failure: table.Trouble | None) -> table.Trouble:
     """Log the loss and the return of the store, once each."""
-    if client.is_reachable != (trouble is None):
-        client.is_reachable = trouble is None
+    if client.is_reachable != (failure is None):
+        client.is_reachable = failure is None
         if client.is_reachable:
-            client.on_return()
+            client.on_recovery()
         event = "store-regained" if client.is_reachable else "store-lost"
         level = logging.INFO if client.is_reachable else logging.WARNING
-        cause = "" if trouble is None else trouble.value
+        cause = "" if failure is None else failure.value
         decision.record(log, level, event, address=client.address, cause=cause)
-    return trouble or table.Trouble.UNKNOWN
+    return failure or table.Trouble.UNKNOWN
--- a/src/ebonyvalve/platform/tool.py
+++ b/src/ebonyvalve/platform/tool.py
@@ -48,13 +48,13 @@
         if found.version <= before.version:
             reasons = [f"version {found.version} is not above {before.version}, which is in force"]
         changes = traffic.list_changes(before, found)
-    code = _tell(changes, reasons)
+    code = _print_findings(changes, reasons)
     noun = "reason" if len(reasons) == 1 else "reasons"
     print(f"refused, {len(reasons)} {noun}" if reasons else "accepted")
     return code
 
 
-def _tell(changes: list[str], reasons: list[str]) -> int:
+def _print_findings(changes: list[str], reasons: list[str]) -> int:
     """Print what would change and the reasons against it; return the exit status."""
     for line in changes:
         print(f"changes {line}")
@@ -91,23 +91,23 @@
     if (file is None) != (against is None) or (evacuate is None and file is None):
         print("give a zone to evacuate, or a file and the one that it is against", file=sys.stderr)
         return UNANSWERED
-    seen = ask_survey(node)
-    if seen is None:
+    node_survey = ask_survey(node)
+    if node_survey is None:
         return UNANSWERED
     changes: list[str] = []
     reasons: list[str] = []
     if evacuate is not None:
-        found = impact.predict_evacuation(seen, identity.ZoneId(evacuate))
+        found = impact.predict_evacuation(node_survey, identity.ZoneId(evacuate))
         changes, reasons = found.changes, found.reasons
     if file is not None and against is not None:
         after, before = read(file), read(against)
         if isinstance(after, traffic.TrafficConfig) and isinstance(before, traffic.TrafficConfig):
-            found = impact.predict_split(seen, before, after)
+            found = impact.predict_split(node_survey, before, after)
             changes, reasons = changes + found.changes, reasons + found.reasons
         for unread in (after, before):
             if isinstance(unread, list):
                 reasons = reasons + unread
-    return _tell(changes, reasons)
+    return _print_findings(changes, reasons)
 
 
 def status(node: str) -> int:
@@ -115,10 +115,10 @@
 
     :param node: ``IP:port`` of a node's ready address.
     """
-    seen = ask_survey(node)
-    if seen is None:
+    node_survey = ask_survey(node)
+    if node_survey is None:
         return UNANSWERED
-    for line in describe(seen):
+    for line in describe(node_survey):
         print(line)
     return DONE
 
@@ -137,7 +137,7 @@
     body = ask(node, f"/explain?{urllib.parse.urlencode(asked)}")
     if body is None:
         return UNANSWERED
-    lines = show_fault(node, decoding.decode(body, list[str]))
+    lines = unwrap_or_report(node, decoding.decode(body, list[str]))
     if lines is None:
         return UNANSWERED
     for line in lines:
@@ -145,34 +145,34 @@
     return DONE
 
 
-def describe(seen: survey.Survey) -> collections.abc.Iterator[str]:
+def describe(node_survey: survey.Survey) -> collections.abc.Iterator[str]:
     """Return what a node believes, a line for each thing.
 
     :param seen: from the node.
     """
-    yield f"node {seen.node} in {seen.zone}, service {seen.service}"
-    yield "configuration " + ("none yet" if seen.config is None else str(seen.config))
-    for reason in seen.refused:
+    yield f"node {node_survey.node} in {node_survey.zone}, service {node_survey.service}"
+    yield "configuration " + ("none yet" if node_survey.config is None else str(node_survey.config))
+    for reason in node_survey.refused:
         yield f"  a newer one was refused: {reason}"
-    for zone in seen.evacuated:
+    for zone in node_survey.evacuated:
         yield f"evacuated {zone}"
-    for peer in seen.peers:
-        yield _describe_peer(seen, peer)
-    for service, book in sorted(seen.ledgers.items()):
-        yield f"ledger of {service}, version {seen.versions[service]}"
-        for span in book.spans:
+    for peer in node_survey.peers:
+        yield _describe_peer(node_survey, peer)
+    for service, ledger in sorted(node_survey.ledgers.items()):
+        yield f"ledger of {service}, version {node_survey.versions[service]}"
+        for span in ledger.spans:
             moving = f", moving to {span.heir_node}" if span.heir else ""
             holder = f"{span.holder} beside {span.node}" if span.holder else "nobody"
             yield f"  {span.first} to {span.last}: {holder}, fence {span.fence}{moving}"
-    for name, value in sorted(seen.gauges.items()):
+    for name, value in sorted(node_survey.gauges.items()):
         yield f"{name} {value:g}"
 
 
-def _describe_peer(seen: survey.Survey, peer: survey.Peer) -> str:
+def _describe_peer(node_survey: survey.Survey, peer: survey.Peer) -> str:
     known = peer.member
     line = f"target {known.lifetime} of {known.service} beside {known.node} in {known.zone}: "
     line += known.state.value
-    if known.state is member.TargetState.READY and known.zone in seen.evacuated:
+    if known.state is member.TargetState.READY and known.zone in node_survey.evacuated:
         line += ", evacuated"
     line += f", {survey.tell_load(peer)}"
     return f"{line}, passed by for {peer.avoided_s:.1f} s" if peer.avoided_s else line
@@ -186,10 +186,10 @@
     body = ask(node, "/status")
     if body is None:
         return None
-    return show_fault(node, survey.decode(body))
+    return unwrap_or_report(node, survey.decode(body))
 
 
-def show_fault(node: str, decoded: result.Result[Form, str]) -> Form | None:
+def unwrap_or_report(node: str, decoded: result.Result[Form, str]) -> Form | None:
     """Return what a node has answered, or ``None``, after saying why, if it can't be read.
 
     :param node: its ready address.
--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -131,12 +131,16 @@
         admission=limit.create(slots=cfg.slots, warm_up_s=0.0),
         account=accounting.Account(landmark_s=edges.clock()),
     )
-    target_pool = pool.Pool(connect=edges.connect_target, now=edges.clock, bound=cfg.connections)
+    target_pool = pool.Pool(
+        connect=edges.connect_target, now=edges.clock, max_connections=cfg.connections
+    )
     shared = handler.Handler(
         here=here,
         snapshot=lambda: node.snapshot,
         target_pool=target_pool,
-        hop_pool=pool.Pool(connect=edges.connect_hop, now=edges.clock, bound=cfg.connections),
+        hop_pool=pool.Pool(
+            connect=edges.connect_hop, now=edges.clock, max_connections=cfg.connections
+        ),
         log_answered_share=cfg.log_answered_share,
         observe=functools.partial(_count_request, book),
     )
@@ -149,7 +153,7 @@
             here=here,
             timer=clock,
             connect=edges.connect_target,
-            drop_idle=functools.partial(pool.drop_idle, target_pool),
+            drop_idle=functools.partial(pool.close_idle, target_pool),
         ),
         handler=shared,
         caller_front=_build_front(cfg, shared, edges.clock, is_hop=False),
@@ -396,7 +400,9 @@
     pools = (node.handler.target_pool, node.handler.hop_pool)
     while True:
         # Every wake-up of an idle process costs CPU; without connections there is nothing to do.
-        period_s = SWEEP_PERIOD_S if any(each.slots for each in pools) else IDLE_SWEEP_PERIOD_S
+        period_s = (
+            SWEEP_PERIOD_S if any(each.connections for each in pools) else IDLE_SWEEP_PERIOD_S
+        )
         now_s = timer.now(node.timer)
         await timer.wait_until(node.timer, now_s + period_s)
         quarantine.forget(node.here.quarantined, timer.now(node.timer))
--- a/src/ebonyvalve/request/attempt.py
+++ b/src/ebonyvalve/request/attempt.py
@@ -47,7 +47,7 @@
     is_ended: bool = False
     failure: pool.PoolFailure | None = None
     is_late: bool = False
-    cut: pool.Cut | None = None
+    cut: pool.AbortReason | None = None
 
 
 async def run(
@@ -95,15 +95,15 @@
             return
         slot = acquired.unwrap()
         slot.is_repeatable = call.rules is None or call.rules.is_repeatable
-        slot.is_arriving = False
-        slot.cut = None
-        slot.is_begun = caller.is_begun
+        slot.has_response_head = False
+        slot.abort_reason = None
+        slot.is_reply_begun = caller.is_begun
         # The last moment: nothing is awaited before the first byte is sent. The watch may not have
         # had its turn, after a freeze or a wait for room.
         if caller.find_gone():
             ended.attempt.step = dispatch.Step.CALLER_GONE
             ended.is_ended = True
-            pool.give_back(way.pool, slot)
+            pool.release_unused(way.pool, slot)
             return
         try:
             with slot.scope:
@@ -119,9 +119,9 @@
                     identify=way.identify,
                 )
         finally:
-            ended.cut = slot.cut
+            ended.cut = slot.abort_reason
             # Most connections are kept, which needs no waiting and so no shield.
-            if not pool.keep(way.pool, slot):
+            if not pool.try_release(way.pool, slot):
                 with trio.CancelScope(shield=True):
                     await pool.discard(way.pool, way.address, slot)
     ended.is_late = scope.cancelled_caught
--- a/src/ebonyvalve/request/dispatch.py
+++ b/src/ebonyvalve/request/dispatch.py
@@ -79,7 +79,7 @@
 
 
 async def run(
-    slot: pool.Slot,
+    slot: pool.PooledConnection,
     call: exchange.Call,
     caller: exchange.Caller,
     *,
@@ -110,7 +110,7 @@
         raise errors.InvariantError("a connection in use has no stream")
     conn = slot.conn
     attempt.is_sent = True
-    liveness.note_asked(slot.life, now())
+    liveness.record_awaiting(slot.state, now())
     head = h11.Request(method=call.method, target=call.path, headers=_list_headers(call, extra))
     first: list[h11.Event] = [head]
     if call.prefix:
@@ -160,7 +160,7 @@
 
 
 async def _pass_body(
-    slot: pool.Slot,
+    slot: pool.PooledConnection,
     conn: wire.Wire,
     caller: exchange.Caller,
     attempt: Attempt,
@@ -172,9 +172,9 @@
     while True:
         attempt.is_body_open = True
         # A slow caller must not make the connection look silent.
-        liveness.note_held(slot.life)
+        liveness.record_held_by_caller(slot.state)
         chunk = await caller.receive()
-        liveness.note_asked(slot.life, now())
+        liveness.record_awaiting(slot.state, now())
         if isinstance(chunk, result.Failure):
             # The target must not take a cut body for a whole one: no end is sent.
             attempt.step = Step.BODY_BROKEN
@@ -188,7 +188,7 @@
 
 
 async def _pass_answer(
-    slot: pool.Slot,
+    slot: pool.PooledConnection,
     call: exchange.Call,
     caller: exchange.Caller,
     relay: Relay,
@@ -202,12 +202,12 @@
     head = await _receive_head(slot, conn, proceed, identify)
     if head is None:
         return
-    liveness.note_progress(slot.life, now())
-    slot.is_arriving = True
+    liveness.record_progress(slot.state, now())
+    slot.has_response_head = True
     attempt.head_at_s = now()
     attempt.status = head.status_code
     attempt.headers = list(head.headers)
-    attempt.is_first = not (conn.is_reused or slot.is_spent)
+    attempt.is_first = not (conn.is_reused or slot.must_close)
     if identify is not None:
         attempt.naming = identify(attempt.headers)
     headers = relay(head.status_code, attempt.headers)
@@ -215,7 +215,7 @@
         attempt.step = Step.WITHHELD
         if identify is not None:
             is_named = attempt.naming is proof.Naming.OWN
-            pool.note_refused(slot, call.request_id, is_named=is_named)
+            pool.record_refusal(slot, call.request_id, names_request=is_named)
         await _skip_answer(conn)
         return
     attempt.step = Step.LOST_IN_REPLY
@@ -230,12 +230,15 @@
 
 
 async def _receive_head(
-    slot: pool.Slot, conn: wire.Wire, proceed: trio.Event, identify: Identify | None
+    slot: pool.PooledConnection, conn: wire.Wire, proceed: trio.Event, identify: Identify | None
 ) -> h11.Response | None:
-    began_at = conn.progress
+    began_at = conn.received_bytes
     for _ in range(MOST_STRAY_ANSWERS):
         received = await wire.receive(conn)
-        if isinstance(received, result.Failure) or conn.progress - began_at > MOST_STRAY_BYTES:
+        if (
+            isinstance(received, result.Failure)
+            or conn.received_bytes - began_at > MOST_STRAY_BYTES
+        ):
             return None
         event = received.unwrap()
         if isinstance(event, h11.Response):
@@ -243,7 +246,7 @@
                 return None
             if identify is None or identify(list(event.headers)) is not proof.Naming.OTHER:
                 return event
-            slot.is_spent = True
+            slot.must_close = True
             await _skip_answer(conn)
             if not wire.expect_another(conn):
                 return None
@@ -265,24 +268,24 @@
 
 
 async def _pass_reply_body(
-    slot: pool.Slot,
+    slot: pool.PooledConnection,
     conn: wire.Wire,
     caller: exchange.Caller,
     attempt: Attempt,
     now: collections.abc.Callable[[], float],
 ) -> None:
-    began_at = conn.progress
+    began_at = conn.received_bytes
     names = {name for name, _ in attempt.headers}
     is_announced = b"content-length" in names and b"transfer-encoding" not in names
     while True:
-        liveness.note_asked(slot.life, now())
+        liveness.record_awaiting(slot.state, now())
         received = await wire.receive(conn)
         if isinstance(received, result.Failure):
             return
-        if not is_announced and conn.progress - began_at > MOST_UNANNOUNCED_BYTES:
+        if not is_announced and conn.received_bytes - began_at > MOST_UNANNOUNCED_BYTES:
             return
-        liveness.note_progress(slot.life, now())
-        liveness.note_held(slot.life)
+        liveness.record_progress(slot.state, now())
+        liveness.record_held_by_caller(slot.state)
         event = received.unwrap()
         if isinstance(event, h11.Data):
             is_there = await caller.write(bytes(event.data))
@@ -300,9 +303,9 @@
 
 async def _skip_answer(conn: wire.Wire) -> None:
     """Read an answer to its end, or to the limit, after which the connection can't be kept."""
-    began_at = conn.progress
+    began_at = conn.received_bytes
     with trio.move_on_after(SKIP_TIMEOUT_S):
-        while conn.progress - began_at <= MOST_STRAY_BYTES:
+        while conn.received_bytes - began_at <= MOST_STRAY_BYTES:
             received = await wire.receive(conn)
             if isinstance(received, result.Failure):
                 return
--- a/src/ebonyvalve/request/front.py
+++ b/src/ebonyvalve/request/front.py
@@ -125,7 +125,7 @@
     if isinstance(call, str):
         await _reply_error(conn, outcome.refuse(outcome.Reason.BAD_REQUEST), call)
         return False
-    age_s = wire.find_age(conn)
+    age_s = wire.read_data_age(conn)
     call.arrived_at_s -= age_s
     call.deadline_at_s -= age_s
     _, max_body_bytes = front.find_limits(call.service)
@@ -274,7 +274,7 @@
         await wire.wait_closed(conn)
 
     def find_gone() -> bool:
-        return wire.find_closed(conn)
+        return wire.is_closed_by_peer(conn)
 
     def is_begun() -> bool:
         return conn.http.our_state is not h11.SEND_RESPONSE
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -70,7 +70,7 @@
     members = watch.node.members
     for name in [name for name in watch.lost if name not in members]:
         del watch.lost[name]
-    late = set(pool.find_doubtful(watch.peers, p99_s=SUSPECT_S / liveness.SILENT_FACTOR))
+    late = set(pool.find_unresponsive(watch.peers, p99_s=SUSPECT_S / liveness.SILENT_FACTOR))
     trusted_since = watch.node.now() - TRUST_S
     return {
         name: one.address
@@ -157,7 +157,7 @@
     patient_since = now - PATIENCE_S if lost_for_s >= PATIENCE_S else None
     # A node that stops takes what is in flight to its end: little time is left to try it elsewhere.
     since = patient_since if watch.node.is_stopping else min(sent_at, now - SUSPECT_S)
-    pool.abandon(watch.peers, address, since=since, patient_since=patient_since)
+    pool.abort(watch.peers, address, cutoff=since, lenient_cutoff=patient_since)
 
 
 def note_lost(watch: Watch, name: identity.NodeId, reason: str) -> float:
--- a/tests/connection/test_liveness.py
+++ b/tests/connection/test_liveness.py
@@ -12,7 +12,7 @@
 
 def make(phase: Phase, asked_at: float, progress_at: float, opened_at: float = 0.0) -> object:
     return liveness.Connection(
-        opened_at=opened_at, phase=phase, asked_at=asked_at, progress_at=progress_at
+        opened_at=opened_at, phase=phase, awaiting_since=asked_at, progress_at=progress_at
     )
 
 
@@ -48,8 +48,8 @@
     connections: list[object], use: str, which: int | None, retire: tuple[int, ...]
 ) -> None:
     """Guards against reuse of a silent connection, and against probing where connecting does."""
-    pick = liveness.pick(number(*connections), now=10.0, bound=3, p99_s=P99_S)
-    assert (pick.use.value, pick.connection, pick.retire) == (use, which, retire)
+    pick = liveness.pick(number(*connections), now=10.0, max_connections=3, p99_s=P99_S)
+    assert (pick.action.value, pick.connection, pick.retire) == (use, which, retire)
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
     """Guards against a stopped target taken for a silent connection, and the reverse."""
     all_ = number(*connections)
     assert liveness.find_silent(all_, now=10.0, p99_s=P99_S) == silent
-    assert liveness.judge(all_, now=10.0, p99_s=P99_S).value == health
+    assert liveness.assess_health(all_, now=10.0, p99_s=P99_S).value == health
 
 
 def test_patience_follows_the_target() -> None:
@@ -98,17 +98,17 @@
     for opened, (step, index, seconds) in enumerate(steps):
         now += seconds
         if step == "ask":
-            pick = liveness.pick(pool, now=now, bound=bound)
+            pick = liveness.pick(pool, now=now, max_connections=bound)
             for name in pick.retire:
                 assert pool.pop(name).phase is Phase.IDLE
-            if pick.use is liveness.Use.OPEN:
+            if pick.action is liveness.Action.OPEN:
                 name = liveness.ConnectionId(opened)
                 pool[name] = liveness.Connection(opened_at=now)
-                liveness.note_connected(pool[name], now)
-                liveness.note_asked(pool[name], now)
+                liveness.record_connected(pool[name], now)
+                liveness.record_awaiting(pool[name], now)
             elif pick.connection is not None:
                 assert pool[pick.connection].phase is Phase.IDLE
-                liveness.note_asked(pool[pick.connection], now)
+                liveness.record_awaiting(pool[pick.connection], now)
             else:
                 assert len(pool) == bound
         elif step == "sweep":
@@ -117,16 +117,16 @@
         elif pool:
             connection = list(pool.values())[index % len(pool)]
             if step == "progress":
-                liveness.note_progress(connection, now)
+                liveness.record_progress(connection, now)
             elif step == "hold":
-                liveness.note_held(connection)
+                liveness.record_held_by_caller(connection)
             else:
-                liveness.note_idle(connection, now)
+                liveness.record_idle(connection, now)
         assert len(pool) <= bound
 
 
 def pick_open(connections: object, **details: object) -> liveness.Pick:
-    return liveness.Pick(use=liveness.Use.OPEN)
+    return liveness.Pick(action=liveness.Action.OPEN)
 
 
 @pytest.mark.parametrize(
--- a/tests/connection/test_pool_closed.py
+++ b/tests/connection/test_pool_closed.py
@@ -27,9 +27,9 @@
         await trio.sleep(0.01)
 
 
-async def idle_connection(state: pool.Pool, address: identity.Address) -> pool.Slot:
+async def idle_connection(state: pool.Pool, address: identity.Address) -> pool.PooledConnection:
     slot = (await pool.acquire(state, address, p99_s=None)).unwrap()
-    liveness.note_idle(slot.life, state.now())
+    liveness.record_idle(slot.state, state.now())
     return slot
 
 
@@ -46,7 +46,7 @@
     await accepted[0].aclose()
     await trio.sleep(0.05)
     second = (await pool.acquire(state, address, p99_s=None)).unwrap()
-    assert second.name != first.name
+    assert second.connection_id != first.connection_id
 
 
 async def test_open_connection_is_used_again(nursery: trio.Nursery) -> None:
@@ -55,7 +55,7 @@
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
     first = await idle_connection(state, address)
     second = (await pool.acquire(state, address, p99_s=None)).unwrap()
-    assert second.name == first.name
+    assert second.connection_id == first.connection_id
 
 
 @pytest.mark.parametrize(
@@ -80,7 +80,7 @@
     await accepted[0].send_all(extra)
     await trio.sleep(0.05)
     second = (await pool.acquire(state, address, p99_s=None)).unwrap()
-    assert second.name != first.name
+    assert second.connection_id != first.connection_id
 
 
 async def test_request_gets_no_connection_on_which_it_was_refused(nursery: trio.Nursery) -> None:
@@ -88,12 +88,12 @@
     address, _ = await open_server(nursery)
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
     first = await idle_connection(state, address)
-    pool.note_refused(first, "r1", is_named=True)
+    pool.record_refusal(first, "r1", names_request=True)
     second = (await pool.acquire(state, address, p99_s=None, request_id="r2")).unwrap()
-    assert second.name == first.name
-    liveness.note_idle(second.life, state.now())
+    assert second.connection_id == first.connection_id
+    liveness.record_idle(second.state, state.now())
     third = (await pool.acquire(state, address, p99_s=None, request_id="r1")).unwrap()
-    assert third.name != first.name
+    assert third.connection_id != first.connection_id
 
 
 async def test_connection_closed_behind_late_bytes_is_not_used_again(
@@ -108,4 +108,4 @@
     await accepted[0].aclose()
     await trio.sleep(0.05)
     second = (await pool.acquire(state, address, p99_s=None)).unwrap()
-    assert second.name != first.name
+    assert second.connection_id != first.connection_id
--- a/tests/connection/test_pool_silence.py
+++ b/tests/connection/test_pool_silence.py
@@ -11,9 +11,9 @@
 ADDRESS = identity.Address("10.0.0.2:1")
 
 
-async def ask(state: pool.Pool) -> pool.Slot:
+async def ask(state: pool.Pool) -> pool.PooledConnection:
     slot = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
-    liveness.note_asked(slot.life, trio.current_time())
+    liveness.record_awaiting(slot.state, trio.current_time())
     return slot
 
 
@@ -35,10 +35,10 @@
     state = pool.Pool(connect=connect, now=trio.current_time)
     long = await ask(state)
     long.is_repeatable = is_repeatable
-    long.is_begun = lambda: is_begun
+    long.is_reply_begun = lambda: is_begun
     other = await ask(state)
     for _ in range(10):
         await trio.sleep(0.5)
-        liveness.note_progress(other.life, trio.current_time())
+        liveness.record_progress(other.state, trio.current_time())
         await pool.sweep(state, p99_s=attempt.SLOW_ANSWER_S)
     assert long.scope.cancel_called is is_ended
--- a/tests/connection/test_wire_closed.py
+++ b/tests/connection/test_wire_closed.py
@@ -24,7 +24,7 @@
     assert isinstance((await wire.receive(conn)).unwrap(), h11.Request)
     await peer.send_all(data)
     await peer.aclose()
-    assert wire.find_closed(conn)
+    assert wire.is_closed_by_peer(conn)
 
 
 async def test_looking_for_a_close_takes_no_bytes_from_who_reads() -> None:
@@ -35,7 +35,7 @@
         assert isinstance((await wire.receive(conn)).unwrap(), h11.Request)
         assert isinstance((await wire.receive(conn)).unwrap(), h11.EndOfMessage)
         await peer.send_all(FIRST)
-        assert not wire.find_closed(conn)
+        assert not wire.is_closed_by_peer(conn)
         await wire.send(conn, h11.Response(status_code=204, headers=[]), h11.EndOfMessage())
         assert wire.recycle(conn)
 
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -35,21 +35,21 @@
     status: int, headers: list[tuple[bytes, bytes]], expected: delivery.Judgement
 ) -> None:
     """Only an answer that says so counts as not run."""
-    assert dialect.judge(status, headers) is expected
+    assert dialect.classify_reply(status, headers) is expected
 
 
 async def test_target_is_told_its_time_and_who_asks() -> None:
     """In whole milliseconds, and at least one, whatever the caller has sent."""
     call = test_origin.build_call(is_repeatable=True)
     lifetime = identity.Lifetime("i-1@5")
-    headers = dict(dialect.dress(call, lifetime, 0.7004))
+    headers = dict(dialect.build_headers(call, lifetime, 0.7004))
     assert headers[dialect.BUDGET_MS] == b"700"
     assert headers[dialect.EXPECT_TARGET] == b"i-1"
-    assert headers[dialect.CALLER] == b"lookup"
-    assert dict(dialect.dress(call, lifetime, 0.0))[dialect.BUDGET_MS] == b"1"
+    assert headers[dialect.CALLER_SERVICE] == b"lookup"
+    assert dict(dialect.build_headers(call, lifetime, 0.0))[dialect.BUDGET_MS] == b"1"
 
 
 def test_any_bytes_of_an_attempt_id_come_back() -> None:
     """An id beyond ASCII made the target's own answer look like another request's."""
     headers = [(dialect.REQUEST_ID, b"\xff\xe9")]
-    assert dialect.identify(headers, b"\xff\xe9".decode("latin-1")) is proof.Naming.OWN
+    assert dialect.correlate(headers, b"\xff\xe9".decode("latin-1")) is proof.Naming.OWN
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -8,7 +8,7 @@
 import trio
 import trio.testing
 
-from ebonyvalve.platform import news, operator
+from ebonyvalve.platform import gossip, operator
 from ebonyvalve.process import http, identity, timer
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process.store import table
@@ -67,7 +67,7 @@
     asked: list[str] = []
 
     async def respond(request: http.Request) -> http.Reply:
-        body = news.tell(teller, request.path)
+        body = gossip.encode_update(teller, request.path)
         return http.Reply(status=200, body=body or b"")
 
     async def connect(address: str) -> trio.abc.Stream:
@@ -79,7 +79,7 @@
     current = traffic.CurrentTraffic()
     store = build_refusing_store([first], [])
     nursery.start_soon(operator.follow, node, current, store)
-    nursery.start_soon(news.learn, node, current, connect)
+    nursery.start_soon(gossip.pull_updates, node, current, connect)
     await trio.sleep(1.0)
     assert node.config == 2
     apply(teller, first, is_whole=True)
@@ -128,7 +128,7 @@
         return table.Rows(rows=(newer,) if after < 9 else (), version=9, clock=None)
 
     async def respond(request: http.Request) -> http.Reply:
-        return http.Reply(status=200, body=news.tell(teller, request.path) or b"")
+        return http.Reply(status=200, body=gossip.encode_update(teller, request.path) or b"")
 
     async def connect(_: str) -> trio.abc.Stream:
         ours, theirs = trio.testing.memory_stream_pair()
@@ -138,7 +138,7 @@
     current = traffic.CurrentTraffic()
     store = table.Store(read=read, follow=follow, commit=refuse_commit)
     nursery.start_soon(operator.follow, node, current, store)
-    nursery.start_soon(news.learn, node, current, connect)
+    nursery.start_soon(gossip.pull_updates, node, current, connect)
     await trio.sleep(1.0)
     is_changed.set()
     apply(teller, newer, is_whole=True)
@@ -165,7 +165,7 @@
 
     async def respond(request: http.Request) -> http.Reply:
         await trio.sleep(1.8)
-        return http.Reply(status=200, body=news.tell(teller, request.path) or b"")
+        return http.Reply(status=200, body=gossip.encode_update(teller, request.path) or b"")
 
     async def connect(address: str) -> trio.abc.Stream:
         asked.append(address)
@@ -184,14 +184,14 @@
     store = table.Store(read=read, follow=follow, commit=refuse_commit)
     current = traffic.CurrentTraffic()
     nursery.start_soon(operator.follow, node, current, store)
-    nursery.start_soon(news.learn, node, current, connect)
+    nursery.start_soon(gossip.pull_updates, node, current, connect)
     await trio.sleep(1.0)
     apply(teller, newer, is_whole=True)
     relay.take_seen(node, relay.list_seen(teller), TELLER)
     await trio.sleep(2.0)
     assert node.config == 7
     assert asked[0] == f"{TELLER}:1"
-    assert len(asked) <= news.MOST_ASKED
+    assert len(asked) <= gossip.MAX_CONCURRENT_PULLS
     # The store's own answer went on meanwhile.
     assert followed == [4, 9]
 
@@ -204,7 +204,10 @@
     nursery.start_soon(timer.run, node.wakeups)
     asked: list[str] = []
     nursery.start_soon(
-        news.learn, node, traffic.CurrentTraffic(), functools.partial(fail_to_connect, asked)
+        gossip.pull_updates,
+        node,
+        traffic.CurrentTraffic(),
+        functools.partial(fail_to_connect, asked),
     )
     apply(node, test_operator.build_row("config", 4, mesh_module.build_config(2)), is_whole=True)
     before = node.recheck
@@ -225,7 +228,10 @@
     nursery.start_soon(timer.run, node.wakeups)
     asked: list[str] = []
     nursery.start_soon(
-        news.learn, node, traffic.CurrentTraffic(), functools.partial(fail_to_connect, asked)
+        gossip.pull_updates,
+        node,
+        traffic.CurrentTraffic(),
+        functools.partial(fail_to_connect, asked),
     )
     node_module.note_named(node, 9, TELLER)
     await trio.sleep(2.0)
@@ -243,16 +249,16 @@
     apply(late, config, test_operator.build_row("evacuate/z2", 6, b"{}"), is_whole=True)
     newer = test_operator.build_row("config", 9, mesh_module.build_config(7))
     apply(teller, newer, is_whole=True)
-    told = news.tell(teller, f"{news.NEWS_PATH}{late.operator_version}")
-    assert told is not None and news.take(late, traffic.CurrentTraffic(), told)
+    told = gossip.encode_update(teller, f"{gossip.GOSSIP_PATH}{late.operator_version}")
+    assert told is not None and gossip.apply_update(late, traffic.CurrentTraffic(), told)
     assert late.config == 7
     assert late.evacuated == frozenset()
     assert late.operator_version == 9
     # What this node has learnt it can tell in turn.
     third = test_origin.build_origin(0.0).node
     apply(third, config, test_operator.build_row("evacuate/z2", 6, b"{}"), is_whole=True)
-    told = news.tell(late, f"{news.NEWS_PATH}{third.operator_version}")
-    assert told is not None and news.take(third, traffic.CurrentTraffic(), told)
+    told = gossip.encode_update(late, f"{gossip.GOSSIP_PATH}{third.operator_version}")
+    assert told is not None and gossip.apply_update(third, traffic.CurrentTraffic(), told)
     assert third.evacuated == frozenset()
 
 
@@ -270,9 +276,9 @@
 async def test_unreadable_news(body: bytes, autojump_clock: trio.testing.MockClock) -> None:
     """They change nothing."""
     node = test_origin.build_origin(0.0).node
-    assert not news.take(node, traffic.CurrentTraffic(), body)
+    assert not gossip.apply_update(node, traffic.CurrentTraffic(), body)
     assert node.operator_version == 0
-    assert news.tell(node, f"{news.NEWS_PATH}x") is None
+    assert gossip.encode_update(node, f"{gossip.GOSSIP_PATH}x") is None
 
 
 async def test_node_answers_what_it_knows_of_the_operator() -> None:
@@ -285,8 +291,8 @@
             return entry.node.config is not None
 
         await mesh_module.poll(is_known)
-        request = http.Request(method="GET", path=f"{news.NEWS_PATH}0")
-        sent = await http.fetch(entry.steward.connect, address, request, timeout_s=2.0)
+        request = http.Request(method="GET", path=f"{gossip.GOSSIP_PATH}0")
+        sent = await http.fetch(entry.reconciler.connect, address, request, timeout_s=2.0)
         other = test_origin.build_origin(0.0).node
-        assert news.take(other, traffic.CurrentTraffic(), sent.unwrap().body)
+        assert gossip.apply_update(other, traffic.CurrentTraffic(), sent.unwrap().body)
         assert other.config == identity.ConfigVersion(1)
--- a/tests/platform/test_operator.py
+++ b/tests/platform/test_operator.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from ebonyvalve.platform import configuration, news, operator
+from ebonyvalve.platform import configuration, gossip, operator
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process import timer
 from ebonyvalve.process.store import table
@@ -22,7 +22,7 @@
 
 def build_row(key: str, version: int, value: bytes | None) -> table.Row:
     return table.Row(
-        name=table.Name(table=operator.OPERATOR, key=key),
+        name=table.Name(table=operator.OPERATOR_TABLE, key=key),
         value=value or b"",
         version=version,
         is_removed=value is None,
@@ -68,11 +68,11 @@
     store, _ = build_store(rows, silent)
     nursery.start_soon(timer.run, node.wakeups)
     nursery.start_soon(operator.follow, node, current, store)
-    nursery.start_soon(news.learn, node, current, fail_to_connect)
+    nursery.start_soon(gossip.pull_updates, node, current, fail_to_connect)
     await trio.sleep(0.1)
     assert node.config == 2
     silent[0] = True
-    await trio.sleep(operator.FOLLOW_S + 1)
+    await trio.sleep(operator.FOLLOW_WAIT_S + 1)
     rows[:] = [
         build_row("config", 9, mesh_module.build_config(7)),
         build_row("evacuate/z2", 10, b"{}"),
@@ -196,12 +196,12 @@
     current = traffic.CurrentTraffic()
     nursery.start_soon(timer.run, node.wakeups)
     nursery.start_soon(operator.follow, node, current, store)
-    nursery.start_soon(news.learn, node, current, fail_to_connect)
+    nursery.start_soon(gossip.pull_updates, node, current, fail_to_connect)
     await trio.sleep(0.1)
     node_module.note_named(node, 2**52)
-    await trio.sleep(operator.FOLLOW_S + 0.1)
+    await trio.sleep(operator.FOLLOW_WAIT_S + 0.1)
     silent[0] = True
-    await trio.sleep(operator.FOLLOW_S)
+    await trio.sleep(operator.FOLLOW_WAIT_S)
     rows[:] = [build_row("config", 9, mesh_module.build_config(7))]
     silent[0] = False
     node_module.note_named(node, 9)
@@ -226,7 +226,7 @@
     counting = dataclasses.replace(store, follow=follow)
     nursery.start_soon(timer.run, node.wakeups)
     nursery.start_soon(operator.follow, node, traffic.CurrentTraffic(), counting)
-    nursery.start_soon(news.learn, node, traffic.CurrentTraffic(), fail_to_connect)
+    nursery.start_soon(gossip.pull_updates, node, traffic.CurrentTraffic(), fail_to_connect)
     for _ in range(50):
         await trio.sleep(0.1)
         node_module.note_named(node, 20)
@@ -244,7 +244,7 @@
     operator.apply(node, current, whole, is_whole=True)
     row = build_row("evacuate/z1", 9, b"{}")
     late = table.Rows(rows=(row,), version=10, clock=None)
-    operator.apply(node, current, late, is_whole=True, reached=10)
+    operator.apply(node, current, late, is_whole=True, complete_to=10)
     assert node.evacuated == frozenset()
     again = table.Rows(rows=(build_row("evacuate/z1", 14, b"{}"),), version=14, clock=None)
     operator.apply(node, current, again, is_whole=False)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -309,14 +309,14 @@
     with trio.CancelScope() as scope:
 
         async def watch() -> None:
-            while asked <= 2 * store.MOST_PAGES:
+            while asked <= 2 * store.MAX_PAGES:
                 await trio.lowlevel.checkpoint()
             scope.cancel()
 
         nursery.start_soon(watch)
         read = await calls.read(TABLE)
     assert read is table.Trouble.UNKNOWN
-    assert asked <= store.MOST_PAGES
+    assert asked <= store.MAX_PAGES
     nursery.cancel_scope.cancel()
 
 
--- a/tests/request/test_endless.py
+++ b/tests/request/test_endless.py
@@ -228,7 +228,7 @@
             if isinstance(event, h11.EndOfMessage):
                 break
         nursery.cancel_scope.cancel()
-    assert max(most, pieces) <= 2 * wire.EVENTS_PER_TURN
+    assert max(most, pieces) <= 2 * wire.MAX_EVENTS_BEFORE_YIELD
 
 
 @pytest.mark.parametrize("unit", [CHUNK, TINY_CHUNK])
--- a/tests/request/test_foreign.py
+++ b/tests/request/test_foreign.py
@@ -42,7 +42,7 @@
     return result.Success(b"")
 
 
-async def ask(slot: pool.Slot, request_id: str, got: list[bytes]) -> dispatch.Attempt:
+async def ask(slot: pool.PooledConnection, request_id: str, got: list[bytes]) -> dispatch.Attempt:
     call = test_origin.build_call(is_repeatable=True)
     call.request_id = request_id
     call.headers = [(b"host", b"x"), (b"x-attempt-id", request_id.encode())]
@@ -51,7 +51,7 @@
     ended = dispatch.Attempt()
 
     def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
-        return headers if dialect.judge(status, headers).value == "answer" else None
+        return headers if dialect.classify_reply(status, headers).value == "answer" else None
 
     with trio.move_on_after(5.0):
         await dispatch.run(
@@ -62,7 +62,7 @@
             relay=relay,
             attempt=ended,
             now=trio.current_time,
-            identify=lambda headers: dialect.identify(headers, call.request_id),
+            identify=lambda headers: dialect.correlate(headers, call.request_id),
         )
     return ended
 
@@ -161,4 +161,4 @@
         now=trio.current_time,
     )
     assert ended.step is dispatch.Step.RELAYED
-    assert not pool.keep(state, slot)
+    assert not pool.try_release(state, slot)
--- a/tests/request/test_reachability.py
+++ b/tests/request/test_reachability.py
@@ -47,11 +47,11 @@
     return reachability.Watch(node=node, peers=peers, connect=connect)
 
 
-async def send(watch: reachability.Watch, *, is_repeatable: bool = True) -> pool.Slot:
+async def send(watch: reachability.Watch, *, is_repeatable: bool = True) -> pool.PooledConnection:
     """Begin a request that the node does not answer."""
     slot = (await pool.acquire(watch.peers, ADDRESS, p99_s=None)).unwrap()
     slot.is_repeatable = is_repeatable
-    liveness.note_asked(slot.life, trio.current_time())
+    liveness.record_awaiting(slot.state, trio.current_time())
     return slot
 
 
--- a/tests/request/test_refusals.py
+++ b/tests/request/test_refusals.py
@@ -124,7 +124,7 @@
         reported_at=node.now(),
     )
     node_module.pulse(node)
-    entry.delivery.dialect = dialect.open_dialect()
+    entry.delivery.dialect = dialect.build_dialect()
     entry.delivery.pool = pool.Pool(connect=target.connect, now=trio.current_time)
     return entry
 
