--- a/bench/retries.py
+++ b/bench/retries.py
@@ -43,7 +43,7 @@
     Outage(name="half fail", share=0.5, result=outcome.refuse(outcome.Reason.CONNECT_FAILED)),
     Outage(name="no connection", share=1.0, result=outcome.refuse(outcome.Reason.CONNECT_FAILED)),
     Outage(name="all shed", share=1.0, result=outcome.refuse(outcome.Reason.TARGET_SHED)),
-    Outage(name="all break off", share=1.0, result=outcome.doubt(outcome.Reason.CONNECTION_LOST)),
+    Outage(name="all break off", share=1.0, result=outcome.unknown(outcome.Reason.CONNECTION_LOST)),
 ]
 
 
--- a/src/ebonyvalve/platform/daemon.py
+++ b/src/ebonyvalve/platform/daemon.py
@@ -28,10 +28,10 @@
     delivery,
     exchange,
     front,
+    hop_headers,
     origin,
     outcome,
     reachability,
-    relay,
 )
 from ebonyvalve.version import traffic
 
@@ -64,7 +64,7 @@
     callers: front.Front
     peers: front.Front
     client: store.Client
-    watch: reachability.Watch
+    watch: reachability.Monitor
     timer: timer.Timer
 
 
@@ -110,7 +110,7 @@
                 gossip.pull_updates, daemon.node, daemon.origin.current, sockets.connect
             ),
             functools.partial(delivery.run_queue, daemon.origin.delivery),
-            functools.partial(crash.run, daemon.origin.delivery.crashes),
+            functools.partial(crash.run, daemon.origin.delivery.crash_detector),
             functools.partial(sweep, daemon),
             functools.partial(timer.run, daemon.timer),
         ):
@@ -168,7 +168,7 @@
         node=node,
         pool=target_pool,
         dialect=dialect.build_dialect(),
-        crashes=crash.Watch(node=node, pool=target_pool, connect=sockets.connect),
+        crash_detector=crash.Detector(node=node, pool=target_pool, connect=sockets.connect),
     )
     entry = origin.Origin(
         node=node,
@@ -182,7 +182,7 @@
         find_limits=functools.partial(find_limits, entry.current),
         is_hop=False,
         parse=dialect.build_parse(now),
-        joins_head=True,
+        coalesces_head=True,
         max_connections=MAX_CONNECTIONS,
     )
     peers = front.Front(
@@ -191,7 +191,7 @@
         find_limits=functools.partial(find_limits, entry.current),
         is_hop=True,
         parse=dialect.build_parse(now),
-        joins_head=True,
+        coalesces_head=True,
         max_connections=MAX_CONNECTIONS,
     )
     return Daemon(
@@ -201,7 +201,7 @@
         callers=callers,
         peers=peers,
         client=client,
-        watch=reachability.Watch(node=node, peers=entry.peers, connect=sockets.connect),
+        watch=reachability.Monitor(node=node, peers=entry.peers, connect=sockets.connect),
         timer=clock,
     )
 
@@ -233,14 +233,14 @@
     :param caller: the other node.
     """
     # A hop has the path that its caller chose.
-    if not relay.is_hop(call.headers):
+    if not hop_headers.is_hop(call.headers):
         answered = await handle_message(entry, reconciler, call, caller)
         if answered is not None:
             return answered
-    relay.take_seen(entry.node, call.headers)
-    if not relay.undress_hop(call, call.headers):
+    hop_headers.record_version(entry.node, call.headers)
+    if not hop_headers.parse_headers(call, call.headers):
         refusal = outcome.refuse(outcome.Reason.BAD_REQUEST)
-        await origin.refuse(caller, refusal, 0.0)
+        await origin.send_refusal(caller, refusal, 0.0)
         return refusal
     dialect.read_head(call)
     return await origin.serve_hop(entry, call, caller)
@@ -257,7 +257,7 @@
     :param caller: the other node.
     """
     if call.path.startswith(reachability.PING_PATH):
-        return await acknowledge(caller, reachability.answer(entry.node, call.path))
+        return await acknowledge(caller, reachability.answer_ping(entry.node, call.path))
     if call.path.startswith(gossip.GOSSIP_PATH):
         update = gossip.encode_update(entry.node, call.path)
         return await acknowledge(caller, 400 if update is None else 200, update or b"")
@@ -278,17 +278,17 @@
     """
     body = bytearray(call.prefix)
     with trio.move_on_after(PUSH_TIMEOUT_S):
-        while not call.is_whole and len(body) <= MAX_PUSH_BYTES:
+        while not call.is_body_buffered and len(body) <= MAX_PUSH_BYTES:
             chunk = await caller.receive()
             if not isinstance(chunk, result.Success):
                 break
             data = chunk.unwrap()
             body += data
-            call.is_whole = not data
-    if not call.is_whole:
+            call.is_body_buffered = not data
+    if not call.is_body_buffered:
         return outcome.refuse(outcome.Reason.BODY_BROKEN)
     if call.path == crash.CRASH_PATH:
-        is_applied = crash.take_push(entry.delivery.crashes, bytes(body))
+        is_applied = crash.receive_push(entry.delivery.crash_detector, bytes(body))
     else:
         is_applied = records.take_push(reconciler, call.path, bytes(body))
     return await acknowledge(caller, 204 if is_applied else 400)
@@ -367,9 +367,9 @@
     ticks = timer.subscribe(daemon.timer, period_s=SWEEP_INTERVAL_S)
     while True:
         await timer.tick(daemon.timer, ticks)
-        await reachability.look(daemon.watch)
-        await pool.sweep(daemon.origin.peers, p99_s=attempt.SLOW_ANSWER_S)
-        await pool.sweep(daemon.origin.delivery.pool, p99_s=attempt.SLOW_ANSWER_S)
+        await reachability.check_peers(daemon.watch)
+        await pool.sweep(daemon.origin.peers, p99_s=attempt.TYPICAL_P99_S)
+        await pool.sweep(daemon.origin.delivery.pool, p99_s=attempt.TYPICAL_P99_S)
         config = daemon.origin.current.traffic
         if config is not None:
             daemon.callers.idle_timeout_s = config.limits.idle_timeout_s
@@ -390,9 +390,9 @@
         daemon.node.is_ending = True
         front.stop(daemon.callers)
         polled = timer.subscribe(daemon.timer, period_s=DRAIN_POLL_INTERVAL_S)
-        while daemon.callers.busy or daemon.peers.busy:
+        while daemon.callers.active_requests or daemon.peers.active_requests:
             await timer.tick(daemon.timer, polled)
-    delivery.end_all(daemon.origin.delivery)
+    delivery.lift_shields(daemon.origin.delivery)
 
 
 if __name__ == "__main__":
--- a/src/ebonyvalve/platform/dialect.py
+++ b/src/ebonyvalve/platform/dialect.py
@@ -7,7 +7,7 @@
 from ebonyvalve.connection import wire
 from ebonyvalve.platform import announcement
 from ebonyvalve.process import decoding, identity
-from ebonyvalve.request import delivery, exchange, front, origin, proof, relay
+from ebonyvalve.request import correlation, delivery, exchange, front, hop_headers, origin
 
 REQUEST_ID = b"x-attempt-id"
 # Milliseconds that the caller waits; a target stops work at what it receives.
@@ -29,7 +29,9 @@
 
 def build_dialect() -> delivery.Dialect:
     """Return how targets are spoken to."""
-    return delivery.Dialect(dress=build_headers, judge=classify_reply, identify=correlate)
+    return delivery.Dialect(
+        build_headers=build_headers, classify_reply=classify_reply, correlate=correlate
+    )
 
 
 def build_headers(
@@ -46,11 +48,11 @@
     return [
         (BUDGET_MS, str(max(1, int(budget_s * 1000))).encode()),
         (EXPECT_TARGET, announcement.read_target_id(lifetime).encode()),
-        (CALLER_SERVICE, rules.origin.encode()),
+        (CALLER_SERVICE, rules.origin_service.encode()),
     ]
 
 
-def classify_reply(status: int, headers: exchange.Headers) -> delivery.Judgement:
+def classify_reply(status: int, headers: exchange.Headers) -> delivery.ReplyKind:
     """Say what an answer of the target is.
 
     :param status: its status code.
@@ -58,16 +60,16 @@
     """
     names = {name for name, _ in headers}
     if status == MISDIRECTED:
-        return delivery.Judgement.MISPLACED
+        return delivery.ReplyKind.WRONG_TARGET
     if NOT_RUN in names:
-        return delivery.Judgement.NOT_RUN
+        return delivery.ReplyKind.NOT_RUN
     is_unsealed = 200 <= status < 300 and SEAL not in names
     if CONTENT_ENCODING in names or is_unsealed or status in NOT_RUN_STATUSES:
-        return delivery.Judgement.SPOILED
-    return delivery.Judgement.ANSWER
+        return delivery.ReplyKind.UNTRUSTED
+    return delivery.ReplyKind.ANSWER
 
 
-def correlate(headers: exchange.Headers, request_id: str) -> proof.Naming:
+def correlate(headers: exchange.Headers, request_id: str) -> correlation.Correlation:
     """Return which request an answer names.
 
     Targets name the request in what they answer. A sealed answer that names none can't be told
@@ -79,8 +81,12 @@
     found = wire.find_header(headers, REQUEST_ID)
     if found is None:
         is_sealed = wire.find_header(headers, SEAL) is not None
-        return proof.Naming.OTHER if is_sealed else proof.Naming.NONE
-    return proof.Naming.OWN if found == request_id.encode("latin-1") else proof.Naming.OTHER
+        return correlation.Correlation.MISMATCH if is_sealed else correlation.Correlation.UNNAMED
+    return (
+        correlation.Correlation.MATCH
+        if found == request_id.encode("latin-1")
+        else correlation.Correlation.MISMATCH
+    )
 
 
 def build_parse(
@@ -111,7 +117,7 @@
     return parse
 
 
-def read_head(call: exchange.Call) -> origin.Head:
+def read_head(call: exchange.Call) -> origin.RequestHead:
     """Return what the router needs of a request's head, and remove what it sets itself.
 
     :param call: the request; its headers are replaced.
@@ -122,13 +128,13 @@
     call.headers = [
         pair
         for pair in call.headers
-        if pair[0] not in ROUTER_HEADERS and not pair[0].startswith(relay.PREFIX)
+        if pair[0] not in ROUTER_HEADERS and not pair[0].startswith(hop_headers.HEADER_PREFIX)
     ]
-    return origin.Head(
+    return origin.RequestHead(
         request_id=call.request_id,
         host=host.decode("latin-1").partition(":")[0].lower(),
-        budget_s=_read_ms(budget),
-        slot=(
+        timeout_s=_read_ms(budget),
+        key_slot=(
             None
             if key_slot_header is None
             else decoding.read_count(key_slot_header, most=identity.LAST_SLOT)
--- a/src/ebonyvalve/request/attempt.py
+++ b/src/ebonyvalve/request/attempt.py
@@ -15,11 +15,11 @@
 
 # Answers of targets that work for 100 to 200 ms and wait in queues; probes of the kernel find
 # silent connections sooner than missing answers do.
-SLOW_ANSWER_S = 0.75
+TYPICAL_P99_S = 0.75
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Way:
+class AttemptContext:
     """Where an attempt goes.
 
     ``max_idle_s`` bounds the age of a reused connection; see :func:`pool.acquire`.
@@ -27,16 +27,16 @@
 
     pool: pool.Pool
     address: identity.Address
-    extra: exchange.Headers
-    relay: dispatch.Relay
+    extra_headers: exchange.Headers
+    filter_reply: dispatch.FilterReply
     p99_s: float | None = None
     max_idle_s: float | None = None
     awaits_continue: bool = False
-    identify: dispatch.Identify | None = None
+    correlate: dispatch.Correlate | None = None
 
 
 @dataclasses.dataclass(kw_only=True)
-class Result:
+class AttemptResult:
     """An attempt with the reasons for which it may have been cut short.
 
     ``is_ended`` stays false when the attempt was cancelled from outside. ``cut`` says why the node
@@ -46,16 +46,16 @@
     attempt: dispatch.Attempt = dataclasses.field(default_factory=dispatch.Attempt)
     is_ended: bool = False
     failure: pool.PoolFailure | None = None
-    is_late: bool = False
-    cut: pool.AbortReason | None = None
+    is_timed_out: bool = False
+    abort_reason: pool.AbortReason | None = None
 
 
 async def run(
-    way: Way,
+    context: AttemptContext,
     call: exchange.Call,
     caller: exchange.Caller,
     now: collections.abc.Callable[[], float],
-    ended: Result,
+    attempt_result: AttemptResult,
 ) -> None:
     """Make one attempt within the request's deadline, unless the caller has left before it.
 
@@ -69,68 +69,70 @@
     :param ended: receives the result.
     """
     try:
-        await _run_once(way, call, caller, now, ended)
+        await _run_once(context, call, caller, now, attempt_result)
     finally:
-        _record(way, call, ended, now())
+        _record(context, call, attempt_result, now())
 
 
 async def _run_once(
-    way: Way,
+    context: AttemptContext,
     call: exchange.Call,
     caller: exchange.Caller,
     now: collections.abc.Callable[[], float],
-    ended: Result,
+    attempt_result: AttemptResult,
 ) -> None:
     with trio.move_on_after(max(call.deadline_at_s - now(), 0)) as scope:
         acquired = await pool.acquire(
-            way.pool,
-            way.address,
-            p99_s=way.p99_s,
-            max_idle_s=way.max_idle_s,
+            context.pool,
+            context.address,
+            p99_s=context.p99_s,
+            max_idle_s=context.max_idle_s,
             request_id=call.request_id,
         )
         if isinstance(acquired, result.Failure):
-            ended.failure = acquired.failure()
-            ended.is_ended = True
+            attempt_result.failure = acquired.failure()
+            attempt_result.is_ended = True
             return
-        slot = acquired.unwrap()
-        slot.is_repeatable = call.rules is None or call.rules.is_repeatable
-        slot.has_response_head = False
-        slot.abort_reason = None
-        slot.is_reply_begun = caller.is_begun
+        connection = acquired.unwrap()
+        connection.is_repeatable = call.rules is None or call.rules.is_repeatable
+        connection.has_response_head = False
+        connection.abort_reason = None
+        connection.is_reply_begun = caller.is_reply_begun
         # The last moment: nothing is awaited before the first byte is sent. The watch may not have
         # had its turn, after a freeze or a wait for room.
-        if caller.find_gone():
-            ended.attempt.step = dispatch.Step.CALLER_GONE
-            ended.is_ended = True
-            pool.release_unused(way.pool, slot)
+        if caller.is_gone():
+            attempt_result.attempt.step = dispatch.Step.CALLER_GONE
+            attempt_result.is_ended = True
+            pool.release_unused(context.pool, connection)
             return
         try:
-            with slot.scope:
+            with connection.scope:
                 await dispatch.run(
-                    slot,
+                    connection,
                     call,
                     caller,
-                    extra=way.extra,
-                    relay=way.relay,
-                    attempt=ended.attempt,
+                    extra_headers=context.extra_headers,
+                    filter_reply=context.filter_reply,
+                    attempt=attempt_result.attempt,
                     now=now,
-                    awaits_continue=way.awaits_continue,
-                    identify=way.identify,
+                    awaits_continue=context.awaits_continue,
+                    correlate=context.correlate,
                 )
         finally:
-            ended.cut = slot.abort_reason
+            attempt_result.abort_reason = connection.abort_reason
             # Most connections are kept, which needs no waiting and so no shield.
-            if not pool.try_release(way.pool, slot):
+            if not pool.try_release(context.pool, connection):
                 with trio.CancelScope(shield=True):
-                    await pool.discard(way.pool, way.address, slot)
-    ended.is_late = scope.cancelled_caught
-    ended.is_ended = True
+                    await pool.discard(context.pool, context.address, connection)
+    attempt_result.is_timed_out = scope.cancelled_caught
+    attempt_result.is_ended = True
 
 
-def _record(way: Way, call: exchange.Call, ended: Result, now: float) -> None:
+def _record(
+    context: AttemptContext, call: exchange.Call, attempt_result: AttemptResult, now: float
+) -> None:
     """Log an attempt that brought no whole answer, with what ended it and how far it had come."""
-    attempt = ended.attempt
+    attempt = attempt_result.attempt
     if attempt.step in (dispatch.Step.RELAYED, dispatch.Step.WITHHELD):
         return
     head_at = attempt.head_at_s
@@ -139,9 +141,9 @@
         logging.INFO,
         "attempt",
         id=call.request_id,
-        address=way.address,
+        address=context.address,
         step=attempt.step,
-        ended_by=_find_end(ended),
+        ended_by=_find_end_cause(attempt_result),
         sent=attempt.is_sent,
         since_head_ms=None if head_at is None else int((now - head_at) * 1000),
         body_bytes=attempt.body_bytes,
@@ -149,31 +151,34 @@
     )
 
 
-def _find_end(ended: Result) -> str:
+def _find_end_cause(attempt_result: AttemptResult) -> str:
     """Return what ended an attempt: this node, its caller, or the other end of the connection."""
-    if ended.failure is not None:
-        return ended.failure.value
-    if ended.cut is not None:
-        return ended.cut.value
-    if ended.is_late:
+    if attempt_result.failure is not None:
+        return attempt_result.failure.value
+    if attempt_result.abort_reason is not None:
+        return attempt_result.abort_reason.value
+    if attempt_result.is_timed_out:
         return "deadline"
-    if not ended.is_ended:
+    if not attempt_result.is_ended:
         return "cancelled"
-    return "caller" if ended.attempt.step is dispatch.Step.CALLER_GONE else "other-end"
+    return "caller" if attempt_result.attempt.step is dispatch.Step.CALLER_GONE else "other-end"
 
 
-def shows_loss(ended: Result) -> bool:
+def suggests_peer_loss(attempt_result: AttemptResult) -> bool:
     """Return whether an attempt shows that the other end may be lost.
 
     An answer that begins shows that it is there, whatever breaks it off later.
 
     :param ended: the attempt.
     """
-    is_broken = ended.attempt.step in (dispatch.Step.SEND_FAILED, dispatch.Step.LOST_BEFORE_REPLY)
-    return ended.failure is not None or (is_broken and not ended.is_late)
+    is_broken = attempt_result.attempt.step in (
+        dispatch.Step.SEND_FAILED,
+        dispatch.Step.LOST_BEFORE_REPLY,
+    )
+    return attempt_result.failure is not None or (is_broken and not attempt_result.is_timed_out)
 
 
-def conclude(ended: Result) -> exchange.Ended:
+def conclude(attempt_result: AttemptResult) -> exchange.Completion:
     """Return what an attempt without a decided answer means for the request.
 
     "Not run" is said only when no byte was sent, or when the other end said so; the caller of this
@@ -181,30 +186,30 @@
 
     :param ended: the attempt.
     """
-    attempt = ended.attempt
+    attempt = attempt_result.attempt
     if attempt.step is dispatch.Step.RELAYED:
         answered = outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=attempt.status)
-        return exchange.Ended(result=answered, is_told=True)
+        return exchange.Completion(result=answered, is_answered=True)
     if not attempt.is_sent:
-        return exchange.Ended(result=outcome.refuse(_find_unsent_reason(ended)))
-    return exchange.Ended(
-        result=outcome.doubt(_find_reason(ended)),
-        is_told=attempt.is_reply_begun,
+        return exchange.Completion(result=outcome.refuse(_find_unsent_reason(attempt_result)))
+    return exchange.Completion(
+        result=outcome.unknown(_find_unknown_reason(attempt_result)),
+        is_answered=attempt.is_reply_begun,
         is_body_open=attempt.is_body_open,
     )
 
 
-def _find_unsent_reason(ended: Result) -> outcome.Reason:
-    if ended.attempt.step is dispatch.Step.CALLER_GONE:
+def _find_unsent_reason(attempt_result: AttemptResult) -> outcome.Reason:
+    if attempt_result.attempt.step is dispatch.Step.CALLER_GONE:
         return outcome.Reason.CALLER_GONE
-    return outcome.Reason.DEADLINE if ended.is_late else outcome.Reason.CONNECT_FAILED
+    return outcome.Reason.DEADLINE if attempt_result.is_timed_out else outcome.Reason.CONNECT_FAILED
 
 
-def _find_reason(ended: Result) -> outcome.Reason:
-    if ended.is_late:
+def _find_unknown_reason(attempt_result: AttemptResult) -> outcome.Reason:
+    if attempt_result.is_timed_out:
         return outcome.Reason.DEADLINE
-    if ended.attempt.step is dispatch.Step.BODY_BROKEN:
+    if attempt_result.attempt.step is dispatch.Step.BODY_BROKEN:
         return outcome.Reason.BODY_BROKEN
-    if ended.attempt.step is dispatch.Step.CALLER_GONE:
+    if attempt_result.attempt.step is dispatch.Step.CALLER_GONE:
         return outcome.Reason.CALLER_GONE
     return outcome.Reason.CONNECTION_LOST
--- a/src/ebonyvalve/request/held.py
+++ b/src/ebonyvalve/request/buffering.py
@@ -5,10 +5,10 @@
 from ebonyvalve.request import exchange
 
 # Larger answers are streamed; one that breaks off after its beginning can't be sent again.
-HELD_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536
 
 
-def hold_back(caller: exchange.Caller) -> exchange.Caller:
+def buffer_reply(caller: exchange.Caller) -> exchange.Caller:
     """Hold a small answer back until it is whole, so that a broken one is never begun.
 
     Returns a caller that gets the beginning of an answer only when enough of it is there.
@@ -42,7 +42,7 @@
             return await caller.write(data)
         parts.append(data)
         size[0] += len(data)
-        return size[0] < HELD_BYTES or await begin()
+        return size[0] < MAX_BUFFERED_BYTES or await begin()
 
     async def finish() -> bool:
         if not is_streamed[0] and not await begin():
--- a/src/ebonyvalve/request/proof.py
+++ b/src/ebonyvalve/request/correlation.py
@@ -3,15 +3,15 @@
 import enum
 
 
-class Naming(enum.Enum):
+class Correlation(enum.Enum):
     """Which request an answer names."""
 
-    OWN = "own"
-    OTHER = "other"
-    NONE = "none"
+    MATCH = "own"
+    MISMATCH = "other"
+    UNNAMED = "none"
 
 
-def belongs(naming: Naming, *, is_first: bool) -> bool:
+def is_reply_to_last(correlation: Correlation, *, is_first: bool) -> bool:
     """Return whether an answer can only be that to the request which was sent last.
 
     The other end may write an earlier answer once more. One that names its request is told apart,
@@ -21,4 +21,4 @@
     :param naming: which request it names.
     :param is_first: whether it is the first answer on its connection.
     """
-    return naming is Naming.OWN or (naming is Naming.NONE and is_first)
+    return correlation is Correlation.MATCH or (correlation is Correlation.UNNAMED and is_first)
--- a/src/ebonyvalve/request/deadline.py
+++ b/src/ebonyvalve/request/deadline.py
@@ -7,7 +7,7 @@
 from ebonyvalve.request import outcome
 
 # Connecting to a target or node takes about 1 ms, and so does a reply between zones.
-MINIMUM_S = 0.002
+MIN_REMAINING_S = 0.002
 # Subtracted at each hop, so that the node that answers gives up before the one that waits for it.
 HOP_MARGIN_S = 0.002
 _NUMBER = re.compile(r"[0-9]{1,9}", re.ASCII)
@@ -29,7 +29,7 @@
     return result.Success(now + min(int(text), limit_ms) / 1000)
 
 
-def write(deadline: float, *, now: float) -> str | None:
+def format_remaining(deadline: float, *, now: float) -> str | None:
     """Return the value of ``Ebonyvalve-Deadline-Ms`` for the next hop.
 
     :param deadline: seconds on the node's clock.
@@ -47,4 +47,4 @@
     :param now: seconds on the node's clock.
     :param typical_s: a latency that the target rarely beats, such as its median; 0 if unknown.
     """
-    return deadline - now >= max(MINIMUM_S, typical_s)
+    return deadline - now >= max(MIN_REMAINING_S, typical_s)
--- a/src/ebonyvalve/request/dispatch.py
+++ b/src/ebonyvalve/request/dispatch.py
@@ -10,7 +10,7 @@
 
 from ebonyvalve import errors
 from ebonyvalve.connection import liveness, pool, wire
-from ebonyvalve.request import exchange, proof
+from ebonyvalve.request import correlation, exchange
 
 # Headers that concern one connection only (RFC 9110, section 7.6.1).
 CONNECTION_HEADERS = {
@@ -28,12 +28,12 @@
 
 
 # Bytes that are read of answers that are not passed on, and how many of these there may be.
-MOST_STRAY_BYTES = 1_048_576
-MOST_STRAY_ANSWERS = 16
+MAX_STRAY_BYTES = 1_048_576
+MAX_STRAY_ANSWERS = 16
 # The rest of an answer that is not passed on; only the connection is lost without it.
 SKIP_TIMEOUT_S = 0.25
 # Bytes that are read of an answer that announces no length.
-MOST_UNANNOUNCED_BYTES = 67_108_864
+MAX_UNANNOUNCED_BYTES = 67_108_864
 
 
 class Step(enum.Enum):
@@ -68,27 +68,27 @@
     # What the caller's end has taken of the answer's body.
     body_bytes: int = 0
     head_at_s: float | None = None
-    naming: proof.Naming = proof.Naming.NONE
+    reply_correlation: correlation.Correlation = correlation.Correlation.UNNAMED
     is_first: bool = True
 
 
 # Returns the headers to send to the caller, or None to withhold the answer.
-Relay = collections.abc.Callable[[int, exchange.Headers], exchange.Headers | None]
+FilterReply = collections.abc.Callable[[int, exchange.Headers], exchange.Headers | None]
 # Returns which request an answer names, as seen from the one that was sent.
-Identify = collections.abc.Callable[[exchange.Headers], proof.Naming]
+Correlate = collections.abc.Callable[[exchange.Headers], correlation.Correlation]
 
 
 async def run(
-    slot: pool.PooledConnection,
+    connection: pool.PooledConnection,
     call: exchange.Call,
     caller: exchange.Caller,
     *,
-    extra: exchange.Headers,
-    relay: Relay,
+    extra_headers: exchange.Headers,
+    filter_reply: FilterReply,
     attempt: Attempt,
     now: collections.abc.Callable[[], float],
     awaits_continue: bool = False,
-    identify: Identify | None = None,
+    correlate: Correlate | None = None,
 ) -> None:
     """Send a request on a connection and pass its answer on.
 
@@ -106,32 +106,45 @@
     :param identify: tells answers to other requests, which are skipped; without it, each answer
         is taken for that to this request.
     """
-    if slot.conn is None:
+    if connection.conn is None:
         raise errors.InvariantError("a connection in use has no stream")
-    conn = slot.conn
+    conn = connection.conn
     attempt.is_sent = True
-    liveness.record_awaiting(slot.state, now())
-    head = h11.Request(method=call.method, target=call.path, headers=_list_headers(call, extra))
+    liveness.record_awaiting(connection.state, now())
+    head = h11.Request(
+        method=call.method, target=call.path, headers=_list_headers(call, extra_headers)
+    )
     first: list[h11.Event] = [head]
     if call.prefix:
         first.append(h11.Data(data=call.prefix))
-    if call.is_whole:
+    if call.is_body_buffered:
         first.append(h11.EndOfMessage())
     sent = await wire.send(conn, *first)
     if isinstance(sent, result.Failure):
         attempt.step = Step.SEND_FAILED
         return
-    if call.is_whole:
-        await _pass_answer(slot, call, caller, relay, attempt, trio.Event(), now, identify)
+    if call.is_body_buffered:
+        await _relay_answer(
+            connection, call, caller, filter_reply, attempt, trio.Event(), now, correlate
+        )
         return
     proceed = trio.Event()
     if not awaits_continue:
         proceed.set()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
-            _pass_body, slot, conn, caller, attempt, nursery.cancel_scope, proceed, now
+            _stream_request_body,
+            connection,
+            conn,
+            caller,
+            attempt,
+            nursery.cancel_scope,
+            proceed,
+            now,
+        )
+        await _relay_answer(
+            connection, call, caller, filter_reply, attempt, proceed, now, correlate
         )
-        await _pass_answer(slot, call, caller, relay, attempt, proceed, now, identify)
         nursery.cancel_scope.cancel()
 
 
@@ -152,15 +165,15 @@
     ]
 
 
-def _list_headers(call: exchange.Call, extra: exchange.Headers) -> exchange.Headers:
-    headers = filter_headers(call.headers) + extra
-    if call.length is None and not (call.is_whole and not call.prefix):
+def _list_headers(call: exchange.Call, extra_headers: exchange.Headers) -> exchange.Headers:
+    headers = filter_headers(call.headers) + extra_headers
+    if call.length is None and not (call.is_body_buffered and not call.prefix):
         headers.append((b"transfer-encoding", b"chunked"))
     return headers
 
 
-async def _pass_body(
-    slot: pool.PooledConnection,
+async def _stream_request_body(
+    connection: pool.PooledConnection,
     conn: wire.Wire,
     caller: exchange.Caller,
     attempt: Attempt,
@@ -172,9 +185,9 @@
     while True:
         attempt.is_body_open = True
         # A slow caller must not make the connection look silent.
-        liveness.record_held_by_caller(slot.state)
+        liveness.record_held_by_caller(connection.state)
         chunk = await caller.receive()
-        liveness.record_awaiting(slot.state, now())
+        liveness.record_awaiting(connection.state, now())
         if isinstance(chunk, result.Failure):
             # The target must not take a cut body for a whole one: no end is sent.
             attempt.step = Step.BODY_BROKEN
@@ -187,35 +200,35 @@
             return
 
 
-async def _pass_answer(
-    slot: pool.PooledConnection,
+async def _relay_answer(
+    connection: pool.PooledConnection,
     call: exchange.Call,
     caller: exchange.Caller,
-    relay: Relay,
+    filter_reply: FilterReply,
     attempt: Attempt,
     proceed: trio.Event,
     now: collections.abc.Callable[[], float],
-    identify: Identify | None,
+    correlate: Correlate | None,
 ) -> None:
-    conn = slot.conn
+    conn = connection.conn
     assert conn is not None
-    head = await _receive_head(slot, conn, proceed, identify)
+    head = await _receive_head(connection, conn, proceed, correlate)
     if head is None:
         return
-    liveness.record_progress(slot.state, now())
-    slot.has_response_head = True
+    liveness.record_progress(connection.state, now())
+    connection.has_response_head = True
     attempt.head_at_s = now()
     attempt.status = head.status_code
     attempt.headers = list(head.headers)
-    attempt.is_first = not (conn.is_reused or slot.must_close)
-    if identify is not None:
-        attempt.naming = identify(attempt.headers)
-    headers = relay(head.status_code, attempt.headers)
+    attempt.is_first = not (conn.is_reused or connection.must_close)
+    if correlate is not None:
+        attempt.reply_correlation = correlate(attempt.headers)
+    headers = filter_reply(head.status_code, attempt.headers)
     if headers is None:
         attempt.step = Step.WITHHELD
-        if identify is not None:
-            is_named = attempt.naming is proof.Naming.OWN
-            pool.record_refusal(slot, call.request_id, names_request=is_named)
+        if correlate is not None:
+            is_named = attempt.reply_correlation is correlation.Correlation.MATCH
+            pool.record_refusal(connection, call.request_id, names_request=is_named)
         await _skip_answer(conn)
         return
     attempt.step = Step.LOST_IN_REPLY
@@ -223,30 +236,36 @@
         if not await caller.reply(head.status_code, headers):
             attempt.step = Step.CALLER_GONE
             return
-        await _pass_reply_body(slot, conn, caller, attempt, now)
+        await _stream_reply_body(connection, conn, caller, attempt, now)
     finally:
         # The caller's end may have held the answer back.
-        attempt.is_reply_begun = caller.is_begun()
+        attempt.is_reply_begun = caller.is_reply_begun()
 
 
 async def _receive_head(
-    slot: pool.PooledConnection, conn: wire.Wire, proceed: trio.Event, identify: Identify | None
+    connection: pool.PooledConnection,
+    conn: wire.Wire,
+    proceed: trio.Event,
+    correlate: Correlate | None,
 ) -> h11.Response | None:
-    began_at = conn.received_bytes
-    for _ in range(MOST_STRAY_ANSWERS):
+    bytes_before = conn.received_bytes
+    for _ in range(MAX_STRAY_ANSWERS):
         received = await wire.receive(conn)
         if (
             isinstance(received, result.Failure)
-            or conn.received_bytes - began_at > MOST_STRAY_BYTES
+            or conn.received_bytes - bytes_before > MAX_STRAY_BYTES
         ):
             return None
         event = received.unwrap()
         if isinstance(event, h11.Response):
             if measure_head(event) > wire.MAX_HEAD_BYTES:
                 return None
-            if identify is None or identify(list(event.headers)) is not proof.Naming.OTHER:
+            if (
+                correlate is None
+                or correlate(list(event.headers)) is not correlation.Correlation.MISMATCH
+            ):
                 return event
-            slot.must_close = True
+            connection.must_close = True
             await _skip_answer(conn)
             if not wire.expect_another(conn):
                 return None
@@ -267,45 +286,45 @@
     return sum(len(name) + len(value) + 4 for name, value in head.headers)
 
 
-async def _pass_reply_body(
-    slot: pool.PooledConnection,
+async def _stream_reply_body(
+    connection: pool.PooledConnection,
     conn: wire.Wire,
     caller: exchange.Caller,
     attempt: Attempt,
     now: collections.abc.Callable[[], float],
 ) -> None:
-    began_at = conn.received_bytes
+    bytes_before = conn.received_bytes
     names = {name for name, _ in attempt.headers}
-    is_announced = b"content-length" in names and b"transfer-encoding" not in names
+    is_length_announced = b"content-length" in names and b"transfer-encoding" not in names
     while True:
-        liveness.record_awaiting(slot.state, now())
+        liveness.record_awaiting(connection.state, now())
         received = await wire.receive(conn)
         if isinstance(received, result.Failure):
             return
-        if not is_announced and conn.received_bytes - began_at > MOST_UNANNOUNCED_BYTES:
+        if not is_length_announced and conn.received_bytes - bytes_before > MAX_UNANNOUNCED_BYTES:
             return
-        liveness.record_progress(slot.state, now())
-        liveness.record_held_by_caller(slot.state)
+        liveness.record_progress(connection.state, now())
+        liveness.record_held_by_caller(connection.state)
         event = received.unwrap()
         if isinstance(event, h11.Data):
-            is_there = await caller.write(bytes(event.data))
+            is_caller_connected = await caller.write(bytes(event.data))
             attempt.body_bytes += len(event.data)
         elif isinstance(event, h11.EndOfMessage):
-            is_there = await caller.finish()
-            attempt.step = Step.RELAYED if is_there else Step.CALLER_GONE
+            is_caller_connected = await caller.finish()
+            attempt.step = Step.RELAYED if is_caller_connected else Step.CALLER_GONE
             return
         else:
             return
-        if not is_there:
+        if not is_caller_connected:
             attempt.step = Step.CALLER_GONE
             return
 
 
 async def _skip_answer(conn: wire.Wire) -> None:
     """Read an answer to its end, or to the limit, after which the connection can't be kept."""
-    began_at = conn.received_bytes
+    bytes_before = conn.received_bytes
     with trio.move_on_after(SKIP_TIMEOUT_S):
-        while conn.received_bytes - began_at <= MOST_STRAY_BYTES:
+        while conn.received_bytes - bytes_before <= MAX_STRAY_BYTES:
             received = await wire.receive(conn)
             if isinstance(received, result.Failure):
                 return
--- a/src/ebonyvalve/request/exchange.py
+++ b/src/ebonyvalve/request/exchange.py
@@ -31,12 +31,12 @@
     """
 
     is_repeatable: bool
-    attempts: int
+    max_attempts: int
     priority: int
     objective_s: float
-    origin: identity.ServiceId
-    slot: int | None = None
-    kind: str = ""
+    origin_service: identity.ServiceId
+    key_slot: int | None = None
+    route: str = ""
     lifetime: identity.Lifetime = identity.Lifetime("")
 
 
@@ -62,7 +62,7 @@
     arrived_at_s: float
     token: str | None = None
     prefix: bytes = b""
-    is_whole: bool = False
+    is_body_buffered: bool = False
     rules: Rules | None = None
 
 
@@ -81,12 +81,12 @@
     write: collections.abc.Callable[[bytes], collections.abc.Awaitable[bool]]
     finish: collections.abc.Callable[[], collections.abc.Awaitable[bool]]
     wait_gone: collections.abc.Callable[[], collections.abc.Awaitable[None]]
-    find_gone: collections.abc.Callable[[], bool]
-    is_begun: collections.abc.Callable[[], bool] = lambda: False
+    is_gone: collections.abc.Callable[[], bool]
+    is_reply_begun: collections.abc.Callable[[], bool] = lambda: False
 
 
 @dataclasses.dataclass(kw_only=True)
-class Ended:
+class Completion:
     """The end of one attempt.
 
     ``is_told`` says that the caller has had an answer or its beginning. ``headers`` go with the
@@ -94,7 +94,7 @@
     """
 
     result: outcome.Outcome
-    is_told: bool = False
+    is_answered: bool = False
     is_body_open: bool = False
     headers: Headers = dataclasses.field(default_factory=list)
     owner: identity.NodeId | None = None
--- a/src/ebonyvalve/request/explanation.py
+++ b/src/ebonyvalve/request/explanation.py
@@ -9,7 +9,7 @@
 from ebonyvalve.version import traffic
 
 
-def explain(entry: origin.Origin, host: str, path: str, slot: int | None) -> list[str]:
+def explain(entry: origin.Origin, host: str, path: str, key_slot: int | None) -> list[str]:
     """Return the decisions about a request in their order, a line each.
 
     :param entry: the state.
@@ -32,25 +32,25 @@
         lines.append(f"service {service}: {100 * part:.0f}% of the requests")
         if not config.services[service].is_keyed:
             lines.extend(_explain_choice(entry.node, service))
-        elif slot is None:
+        elif key_slot is None:
             lines.append("  its requests need a key: 400")
         else:
-            lines.extend(_explain_owner(entry.node, service, slot))
+            lines.extend(_explain_owner(entry.node, service, key_slot))
         repeats = budget.find(entry.node.budget, service).level
         lines.append(f"  repeats that this node may make now: {int(repeats)}")
     return lines
 
 
 def _explain_owner(
-    node: node_module.Node, service: identity.ServiceId, slot: int
+    node: node_module.Node, service: identity.ServiceId, key_slot: int
 ) -> collections.abc.Iterator[str]:
-    book = node.books.get(service)
-    if book is None:
+    versioned_ledger = node.books.get(service)
+    if versioned_ledger is None:
         yield "  its ledger is not known: 503"
         return
-    span = ledger.find(book.ledger, slot)
+    span = ledger.find(versioned_ledger.ledger, key_slot)
     yield (
-        f"  key {slot} is in {span.first} to {span.last} of ledger {book.version}, "
+        f"  key {key_slot} is in {span.first} to {span.last} of ledger {versioned_ledger.version}, "
         f"fence {span.fence}"
     )
     if not span.holder:
--- a/src/ebonyvalve/request/quarantine.py
+++ b/src/ebonyvalve/request/fingerprints.py
@@ -10,7 +10,7 @@
 DIGEST_BYTES = 16
 
 
-def fingerprint(
+def compute_fingerprint(
     *,
     service: identity.ServiceId,
     key: identity.KeyId | None,
--- a/src/ebonyvalve/request/front.py
+++ b/src/ebonyvalve/request/front.py
@@ -35,7 +35,7 @@
 OWNER_HEADER = b"ebonyvalve-owner"
 FENCE_HEADER = b"ebonyvalve-fence"
 # End of the node's lease in milliseconds of CLOCK_BOOTTIME, which node and target share.
-UNTIL_HEADER = b"ebonyvalve-grant-until-ms"
+GRANT_UNTIL_HEADER = b"ebonyvalve-grant-until-ms"
 HEADER_PREFIX = b"ebonyvalve-"
 
 Handle = collections.abc.Callable[
@@ -61,11 +61,11 @@
     is_hop: bool
     parse: Parse | None = None
     idle_timeout_s: float = IDLE_TIMEOUT_S
-    joins_head: bool = False
+    coalesces_head: bool = False
     max_connections: int = 1000
     connections: int = 0
     # Requests that have been read and not yet answered in full.
-    busy: int = 0
+    active_requests: int = 0
     is_stopping: bool = False
     idle_scopes: set[trio.CancelScope] = dataclasses.field(default_factory=set)
 
@@ -137,14 +137,14 @@
         await _reply_error(conn, outcome.refuse(outcome.Reason.BAD_REQUEST), reason)
         return False
     caller = build_caller(incoming)
-    if not await _hold_prefix(call, caller):
+    if not await _buffer_prefix(call, caller):
         await _reply_error(conn, outcome.refuse(outcome.Reason.BODY_BROKEN), "body broke off")
         return False
-    front.busy += 1
+    front.active_requests += 1
     try:
         await front.handle(call, caller)
     finally:
-        front.busy -= 1
+        front.active_requests -= 1
     return await _finish_exchange(front, incoming)
 
 
@@ -222,7 +222,7 @@
     return int(wire.find_header(headers, b"content-length") or 0)
 
 
-async def _hold_prefix(call: exchange.Call, caller: exchange.Caller) -> bool:
+async def _buffer_prefix(call: exchange.Call, caller: exchange.Caller) -> bool:
     """Read the beginning of the body; return whether it is intact."""
     with trio.move_on_after(PREFIX_TIMEOUT_S):
         while len(call.prefix) < PREFIX_BYTES:
@@ -231,7 +231,7 @@
                 return False
             data = chunk.unwrap()
             if not data:
-                call.is_whole = True
+                call.is_body_buffered = True
                 return True
             call.prefix += data
         return True
@@ -249,25 +249,25 @@
         return await _receive_body(incoming)
 
     # What waits to be written with the next part.
-    head: list[h11.Event] = []
+    pending: list[h11.Event] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
         extra = [] if not incoming.front.is_stopping else [(b"connection", b"close")]
         response = h11.Response(status_code=status, headers=headers + extra)
-        if incoming.front.joins_head:
+        if incoming.front.coalesces_head:
             # The answer of an attempt that broke off before its body is replaced.
-            head[:] = [response]
+            pending[:] = [response]
             return True
         return isinstance(await wire.send(conn, response), result.Success)
 
     async def write(data: bytes) -> bool:
-        sent = await wire.send(conn, *head, h11.Data(data=data))
-        head.clear()
+        sent = await wire.send(conn, *pending, h11.Data(data=data))
+        pending.clear()
         return isinstance(sent, result.Success)
 
     async def finish() -> bool:
-        sent = await wire.send(conn, *head, h11.EndOfMessage())
-        head.clear()
+        sent = await wire.send(conn, *pending, h11.EndOfMessage())
+        pending.clear()
         return isinstance(sent, result.Success)
 
     async def wait_gone() -> None:
@@ -285,8 +285,8 @@
         write=write,
         finish=finish,
         wait_gone=wait_gone,
-        find_gone=find_gone,
-        is_begun=is_begun,
+        is_gone=find_gone,
+        is_reply_begun=is_begun,
     )
 
 
@@ -340,7 +340,7 @@
         (b"content-type", b"text/plain; charset=utf-8"),
         (b"content-length", str(len(body)).encode()),
         (b"connection", b"close"),
-        *list_outcome(refusal),
+        *build_outcome_headers(refusal),
     ]
     if conn.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
         head = h11.Response(status_code=refusal.status, headers=headers)
@@ -349,7 +349,7 @@
             await wire.drain(conn)
 
 
-def list_outcome(result_: outcome.Outcome) -> exchange.Headers:
+def build_outcome_headers(result_: outcome.Outcome) -> exchange.Headers:
     """Return the headers that tell a caller what became of its request.
 
     :param result_: the outcome.
--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -26,9 +26,9 @@
 log = logging.getLogger(__name__)
 
 # A node that cannot be reached is tried again this often while its lease may still be live.
-RECHECK_S = 0.05
+RECHECK_INTERVAL_S = 0.05
 # Nothing was sent for these, so waiting for the next owner cannot multiply load.
-MOVING = frozenset(
+AWAITS_NEXT_OWNER = frozenset(
     {
         outcome.Reason.CONNECT_FAILED,
         outcome.Reason.LEASE_LAPSED,
@@ -85,13 +85,13 @@
         reason = outcome.Reason.NO_SUCH_SERVICE
         if current is None:
             reason = outcome.Reason.NO_CONFIGURATION
-        ended = await _tell(caller, exchange.Ended(result=outcome.refuse(reason)))
+        result = await _send_completion(caller, exchange.Completion(result=outcome.refuse(reason)))
     else:
         progress = Progress(call=call, caller=caller, service=service)
-        ended = await _serve(shared, progress)
-    shared.observe(call, ended, shared.here.now() - started_s)
-    _log(shared, call, ended, progress)
-    return ended
+        result = await _serve(shared, progress)
+    shared.observe(call, result, shared.here.now() - started_s)
+    _log(shared, call, result, progress)
+    return result
 
 
 async def _serve(shared: Handler, progress: Progress) -> outcome.Outcome:
@@ -101,9 +101,9 @@
     """
     call = progress.call
     is_idempotent = call.method in progress.service.idempotent_methods
-    if not (call.is_whole and is_idempotent):
-        return await _try_until_told(shared, progress)
-    ended = outcome.doubt(outcome.Reason.CALLER_GONE)
+    if not (call.is_body_buffered and is_idempotent):
+        return await _try_until_answered(shared, progress)
+    result = outcome.unknown(outcome.Reason.CALLER_GONE)
     async with trio.open_nursery() as nursery:
 
         async def watch() -> None:
@@ -111,12 +111,12 @@
             nursery.cancel_scope.cancel()
 
         nursery.start_soon(watch)
-        ended = await _try_until_told(shared, progress)
+        result = await _try_until_answered(shared, progress)
         nursery.cancel_scope.cancel()
-    return ended
+    return result
 
 
-async def _try_until_told(shared: Handler, progress: Progress) -> outcome.Outcome:
+async def _try_until_answered(shared: Handler, progress: Progress) -> outcome.Outcome:
     here = shared.here
     if not progress.call.is_hop:
         budget.earn(here.retries)
@@ -128,7 +128,7 @@
         if choice.choice is routing.Choice.WAIT:
             if await _wait(here, progress.call, changed):
                 continue
-            return await _tell_refusal(progress, choice.reason)
+            return await _send_refusal(progress, choice.reason)
         if choice.choice is routing.Choice.REFUSE:
             if choice.reason is outcome.Reason.MOVED and not progress.call.is_hop:
                 # Both views are out of date; the next renewal brings a newer one.
@@ -136,16 +136,16 @@
                 progress.corrected = None
                 if await _wait(here, progress.call, changed):
                     continue
-            return await _tell_refusal(progress, choice.reason, owner=choice.node)
-        ended = await _attempt(shared, progress, choice)
-        if ended.result.verdict is outcome.Verdict.UNKNOWN:
+            return await _send_refusal(progress, choice.reason, owner=choice.node)
+        completion = await _attempt(shared, progress, choice)
+        if completion.result.verdict is outcome.Verdict.UNKNOWN:
             progress.may_have_run = True
-        elif progress.may_have_run and ended.result.verdict is outcome.Verdict.NOT_RUN:
-            ended.result = outcome.doubt(ended.result.reason)
-        if ended.is_told:
-            return ended.result
-        if not await _may_go_on(here, progress, ended, changed):
-            return await _tell(progress.caller, ended)
+        elif progress.may_have_run and completion.result.verdict is outcome.Verdict.NOT_RUN:
+            completion.result = outcome.unknown(completion.result.reason)
+        if completion.is_answered:
+            return completion.result
+        if not await _prepare_retry(here, progress, completion, changed):
+            return await _send_completion(progress.caller, completion)
 
 
 def _choose(shared: Handler, progress: Progress) -> routing.Route:
@@ -203,16 +203,18 @@
     return identity.name_partition(service.name, route.find_partition(service, key))
 
 
-async def _attempt(shared: Handler, progress: Progress, choice: routing.Route) -> exchange.Ended:
+async def _attempt(
+    shared: Handler, progress: Progress, choice: routing.Route
+) -> exchange.Completion:
     progress.attempts += 1
     node = choice.node or shared.here.node
     progress.tried.add(node)
     first = functools.partial(try_node, shared, progress, node)
     if progress.service.is_keyed or progress.call.is_hop or progress.call.token is not None:
-        return await first(gate=hedge.pass_all)
+        return await first(gate=hedge.accept_all)
 
     def choose_other() -> (
-        collections.abc.Callable[..., collections.abc.Awaitable[exchange.Ended]] | None
+        collections.abc.Callable[..., collections.abc.Awaitable[exchange.Completion]] | None
     ):
         other = _choose(shared, progress)
         if other.choice not in (routing.Choice.LOCAL, routing.Choice.HOP):
@@ -230,8 +232,8 @@
     progress: Progress,
     node: identity.NodeId,
     *,
-    gate: dispatch.Relay,
-) -> exchange.Ended:
+    gate: dispatch.FilterReply,
+) -> exchange.Completion:
     """Make one attempt at one node.
 
     :param shared: what the node's requests share.
@@ -244,18 +246,18 @@
     if node != here.node:
         member = here.read_node().members.get(node)
         if member is None:
-            return exchange.Ended(result=outcome.refuse(outcome.Reason.CONNECT_FAILED))
+            return exchange.Completion(result=outcome.refuse(outcome.Reason.CONNECT_FAILED))
         return await hop.run(
             here, call, progress.caller, progress.service, member, shared.hop_pool, gate
         )
     if site.is_drained(here):
-        return exchange.Ended(result=outcome.refuse(outcome.Reason.DRAINED))
+        return exchange.Completion(result=outcome.refuse(outcome.Reason.DRAINED))
     shard = find_shard(here, progress.service, call.key)
     if shard is None:
         return await _run_unkeyed(shared, progress, gate)
     granted = lease.find_fence(here.read_node(), shard, call.key, here.now())
     if granted is None:
-        return exchange.Ended(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
+        return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
 
     def is_granted() -> bool:
         held = lease.find_fence(here.read_node(), shard, call.key, here.now())
@@ -264,7 +266,9 @@
     return await local.run(here, _build_job(shared, progress, shard, granted, is_granted), gate)
 
 
-async def _run_unkeyed(shared: Handler, progress: Progress, gate: dispatch.Relay) -> exchange.Ended:
+async def _run_unkeyed(
+    shared: Handler, progress: Progress, gate: dispatch.FilterReply
+) -> exchange.Completion:
     """Run a request of a service without keys here, in the node's own name.
 
     The node must have a live lease all the same, since only then does it know the configuration
@@ -276,7 +280,7 @@
         return lease.is_live(here.read_node(), here.now()) and not site.is_drained(here)
 
     if not is_granted():
-        return exchange.Ended(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
+        return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
     shard = memory.name_node(progress.service.name, here.node)
     fence = memory.fence_incarnation(here.incarnation)
     return await local.run(here, _build_job(shared, progress, shard, fence, is_granted), gate)
@@ -300,28 +304,33 @@
     )
 
 
-async def _may_go_on(
-    here: site.Site, progress: Progress, ended: exchange.Ended, changed: trio.Event
+async def _prepare_retry(
+    here: site.Site, progress: Progress, completion: exchange.Completion, changed: trio.Event
 ) -> bool:
     """Wait as the rules ask before the next attempt; return whether there is one."""
     call = progress.call
-    reason = ended.result.reason
-    is_not_run = ended.result.verdict is outcome.Verdict.NOT_RUN
-    if is_not_run and reason is outcome.Reason.MOVED and not ended.is_body_open:
+    reason = completion.result.reason
+    is_not_run = completion.result.verdict is outcome.Verdict.NOT_RUN
+    if is_not_run and reason is outcome.Reason.MOVED and not completion.is_body_open:
         progress.corrections += 1
-        progress.corrected = ended.owner
+        progress.corrected = completion.owner
         return here.now() < call.deadline_at_s
     progress.corrected = None
-    if is_not_run and reason in MOVING and progress.service.is_keyed and not ended.is_body_open:
-        return await _wait(here, call, changed, at_most_s=RECHECK_S)
+    if (
+        is_not_run
+        and reason in AWAITS_NEXT_OWNER
+        and progress.service.is_keyed
+        and not completion.is_body_open
+    ):
+        return await _wait(here, call, changed, at_most_s=RECHECK_INTERVAL_S)
     others = hedge.list_others(here, progress.service, progress.tried)
     if not others:
         progress.tried.clear()
     verdict = retry.decide(
-        ended.result,
+        completion.result,
         is_idempotent=call.method in progress.service.idempotent_methods,
-        is_body_held=call.is_whole or not ended.is_body_open,
-        is_reply_started=ended.is_told,
+        is_body_held=call.is_body_buffered or not completion.is_body_open,
+        is_reply_started=completion.is_answered,
         has_other_target=bool(others),
         attempts=progress.attempts,
         remaining_s=call.deadline_at_s - here.now(),
@@ -348,39 +357,41 @@
     return here.now() < call.deadline_at_s
 
 
-async def _tell_refusal(
+async def _send_refusal(
     progress: Progress, reason: outcome.Reason, *, owner: identity.NodeId | None = None
 ) -> outcome.Outcome:
     """Refuse a request for which there is no further attempt."""
     is_doubtful = progress.may_have_run or reason is outcome.Reason.TOKEN_EPOCH_LOST
-    refusal = outcome.doubt(reason) if is_doubtful else outcome.refuse(reason)
-    return await _tell(progress.caller, exchange.Ended(result=refusal, owner=owner))
+    refusal = outcome.unknown(reason) if is_doubtful else outcome.refuse(reason)
+    return await _send_completion(progress.caller, exchange.Completion(result=refusal, owner=owner))
 
 
-async def _tell(caller: exchange.Caller, ended: exchange.Ended) -> outcome.Outcome:
+async def _send_completion(
+    caller: exchange.Caller, completion: exchange.Completion
+) -> outcome.Outcome:
     """Tell the caller that its request did not run, may have run, or ran before."""
-    body = f"{ended.result.verdict.value}: {ended.result.reason.value}\n".encode()
+    body = f"{completion.result.verdict.value}: {completion.result.reason.value}\n".encode()
     headers = [
-        *front.list_outcome(ended.result),
-        *ended.headers,
+        *front.build_outcome_headers(completion.result),
+        *completion.headers,
         (b"content-type", b"text/plain; charset=utf-8"),
         (b"content-length", str(len(body)).encode()),
     ]
-    if ended.owner is not None:
-        headers.append((front.OWNER_HEADER, ended.owner.encode()))
-    if await caller.reply(ended.result.status or outcome.DEFAULT_STATUS, headers):
+    if completion.owner is not None:
+        headers.append((front.OWNER_HEADER, completion.owner.encode()))
+    if await caller.reply(completion.result.status or outcome.DEFAULT_STATUS, headers):
         await caller.write(body)
         await caller.finish()
-    return ended.result
+    return completion.result
 
 
 def _log(
     shared: Handler,
     call: exchange.Call,
-    ended: outcome.Outcome,
+    result: outcome.Outcome,
     progress: Progress | None,
 ) -> None:
-    is_answered = ended.verdict is outcome.Verdict.ANSWERED
+    is_answered = result.verdict is outcome.Verdict.ANSWERED
     if is_answered and not decision.is_sampled(call.request_id, shared.log_answered_share):
         return
     choice = None if progress is None else progress.choice
@@ -396,7 +407,7 @@
         route="none" if choice is None else choice.choice,
         to=shared.here.node if choice is None or choice.node is None else choice.node,
         attempts=0 if progress is None else progress.attempts,
-        verdict=ended.verdict,
-        reason=ended.reason,
-        status=ended.status,
+        verdict=result.verdict,
+        reason=result.reason,
+        status=result.status,
     )
--- a/src/ebonyvalve/request/hedge.py
+++ b/src/ebonyvalve/request/hedge.py
@@ -9,7 +9,7 @@
 from ebonyvalve.request import exchange, retry, routing
 from ebonyvalve.version import objects
 
-Try = collections.abc.Callable[..., collections.abc.Awaitable[exchange.Ended]]
+RunAttempt = collections.abc.Callable[..., collections.abc.Awaitable[exchange.Completion]]
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -18,11 +18,11 @@
 
     winner: int | None = None
     scopes: dict[int, trio.CancelScope] = dataclasses.field(default_factory=dict)
-    ended: list[exchange.Ended] = dataclasses.field(default_factory=list)
-    settled: trio.Event = dataclasses.field(default_factory=trio.Event)
+    completions: list[exchange.Completion] = dataclasses.field(default_factory=list)
+    decided: trio.Event = dataclasses.field(default_factory=trio.Event)
 
 
-def pass_all(status: int, headers: exchange.Headers) -> exchange.Headers:
+def accept_all(status: int, headers: exchange.Headers) -> exchange.Headers:
     """Let an answer pass as it is.
 
     :param status: its status code.
@@ -83,7 +83,7 @@
     return retry.hedge_after(
         is_keyed=service.is_keyed,
         is_idempotent=call.method in service.idempotent_methods,
-        is_body_held=call.is_whole,
+        is_body_held=call.is_body_buffered,
         has_other_target=bool(list_others(here, service, tried)),
         p95_s=straggler.read_quantile(here.books[service.name], 0.95),
         remaining_s=call.deadline_at_s - here.now(),
@@ -92,11 +92,11 @@
 
 async def run(
     here: site.Site,
-    first: Try,
-    choose_other: collections.abc.Callable[[], Try | None],
+    first: RunAttempt,
+    choose_other: collections.abc.Callable[[], RunAttempt | None],
     *,
     after_s: float | None,
-) -> exchange.Ended:
+) -> exchange.Completion:
     """Run an attempt, and a second one if the first is late; the first answer passes.
 
     :param here: the node's state.
@@ -105,22 +105,22 @@
     :param after_s: seconds until then; ``None`` for never.
     """
     if after_s is None:
-        return await first(gate=pass_all)
+        return await first(gate=accept_all)
     race = Race()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_run_one, race, 0, first)
+        nursery.start_soon(_run_attempt, race, 0, first)
         with trio.move_on_after(after_s):
-            await race.settled.wait()
+            await race.decided.wait()
         other = None
-        if race.winner is None and not race.ended and budget.spend(here.hedges):
+        if race.winner is None and not race.completions and budget.spend(here.hedges):
             other = choose_other()
         if other is not None:
-            nursery.start_soon(_run_one, race, 1, other)
-    told = [ended for ended in race.ended if ended.is_told]
-    return (told or race.ended)[-1]
+            nursery.start_soon(_run_attempt, race, 1, other)
+    answered = [ended for ended in race.completions if ended.is_answered]
+    return (answered or race.completions)[-1]
 
 
-async def _run_one(race: Race, number: int, attempt: Try) -> None:
+async def _run_attempt(race: Race, number: int, attempt: RunAttempt) -> None:
     def gate(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if race.winner is not None and race.winner != number:
             return None
@@ -128,10 +128,10 @@
         for other, scope in race.scopes.items():
             if other != number:
                 scope.cancel()
-        race.settled.set()
+        race.decided.set()
         return headers
 
     scope = race.scopes[number] = trio.CancelScope()
     with scope:
-        race.ended.append(await attempt(gate=gate))
-        race.settled.set()
+        race.completions.append(await attempt(gate=gate))
+        race.decided.set()
--- a/src/ebonyvalve/request/hop.py
+++ b/src/ebonyvalve/request/hop.py
@@ -14,8 +14,8 @@
     service: objects.Service,
     member: message.Member,
     connections: pool.Pool,
-    gate: dispatch.Relay,
-) -> exchange.Ended:
+    gate: dispatch.FilterReply,
+) -> exchange.Completion:
     """Pass a request on to another node and its answer back.
 
     :param here: the node's state.
@@ -31,30 +31,30 @@
 
     def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         said = read_outcome(status, headers)
-        if _may_go_elsewhere(said, is_idempotent=is_idempotent):
+        if _may_retry_elsewhere(said, is_idempotent=is_idempotent):
             return None
         return gate(status, dispatch.filter_headers(headers))
 
     extra = local.list_extra(call, started_s)
     if call.token is not None:
         extra.append((front.TOKEN_HEADER, call.token.encode()))
-    way = attempts.Way(
+    context = attempts.AttemptContext(
         pool=connections,
         address=member.hop_address,
-        extra=extra,
-        relay=relay,
+        extra_headers=extra,
+        filter_reply=relay,
         p99_s=straggler.read_quantile(here.books[service.name], 0.99),
         max_idle_s=None if is_idempotent else local.MAX_IDLE_ONCE_S,
-        awaits_continue=not call.is_whole,
+        awaits_continue=not call.is_body_buffered,
     )
     here.in_flight[member.node] += 1
-    ended = attempts.Result()
+    attempt_result = attempts.AttemptResult()
     try:
-        await attempts.run(way, call, caller, here.now, ended)
+        await attempts.run(context, call, caller, here.now, attempt_result)
     finally:
         here.in_flight[member.node] -= 1
-        _learn(here, service, member.node, ended, started_s)
-    return _conclude(ended)
+        _record_latency(here, service, member.node, attempt_result, started_s)
+    return _conclude(attempt_result)
 
 
 def read_outcome(status: int, headers: exchange.Headers) -> outcome.Outcome:
@@ -78,42 +78,42 @@
         )
 
 
-def _may_go_elsewhere(said: outcome.Outcome, *, is_idempotent: bool) -> bool:
-    if said.verdict is outcome.Verdict.ANSWERED:
+def _may_retry_elsewhere(reported: outcome.Outcome, *, is_idempotent: bool) -> bool:
+    if reported.verdict is outcome.Verdict.ANSWERED:
         return False
-    if said.verdict is outcome.Verdict.UNKNOWN and not is_idempotent:
+    if reported.verdict is outcome.Verdict.UNKNOWN and not is_idempotent:
         return False
-    return said.reason is outcome.Reason.MOVED or said.reason in retry.TRANSIENT
+    return reported.reason is outcome.Reason.MOVED or reported.reason in retry.TRANSIENT
 
 
-def _conclude(ended: attempts.Result) -> exchange.Ended:
-    attempt = ended.attempt
+def _conclude(attempt_result: attempts.AttemptResult) -> exchange.Completion:
+    attempt = attempt_result.attempt
     if attempt.step is dispatch.Step.WITHHELD:
         owner = wire.find_header(attempt.headers, front.OWNER_HEADER)
-        kept = (front.TOKEN_HEADER, b"retry-after")
-        return exchange.Ended(
+        kept_names = (front.TOKEN_HEADER, b"retry-after")
+        return exchange.Completion(
             result=read_outcome(attempt.status, attempt.headers),
             is_body_open=attempt.is_body_open,
-            headers=[pair for pair in attempt.headers if pair[0] in kept],
+            headers=[pair for pair in attempt.headers if pair[0] in kept_names],
             owner=None if owner is None else identity.NodeId(owner.decode("ascii", "replace")),
         )
-    concluded = attempts.conclude(ended)
+    completion = attempts.conclude(attempt_result)
     if attempt.step is dispatch.Step.RELAYED:
-        concluded.result = read_outcome(attempt.status, attempt.headers)
-    return concluded
+        completion.result = read_outcome(attempt.status, attempt.headers)
+    return completion
 
 
-def _learn(
+def _record_latency(
     here: site.Site,
     service: objects.Service,
     node: identity.NodeId,
-    ended: attempts.Result,
+    attempt_result: attempts.AttemptResult,
     started_s: float,
 ) -> None:
     """Note the latency; a cancelled attempt counts with the time it took until then."""
-    if not ended.attempt.is_sent:
+    if not attempt_result.attempt.is_sent:
         return
-    head_s = ended.attempt.head_at_s
+    head_s = attempt_result.attempt.head_at_s
     latency_s = (here.now() if head_s is None else head_s) - started_s
     book = here.books[service.name]
     straggler.record(book, node, latency_s, is_complete=head_s is not None)
--- a/src/ebonyvalve/request/relay.py
+++ b/src/ebonyvalve/request/hop_headers.py
@@ -17,19 +17,19 @@
 LOAD_HEADER = b"ebonyvalve-load"
 REFUSED_HEADER = b"ebonyvalve-refused"
 # The newest row of the operator that the sender has applied.
-SEEN_HEADER = b"ebonyvalve-seen"
+VERSION_HEADER = b"ebonyvalve-seen"
 OWNER_HEADER = b"ebonyvalve-owner"
 RETRY_AFTER_HEADER = b"retry-after"
-PREFIX = b"ebonyvalve-"
-MOST_RETRY_AFTER_S = 3600.0
-MOST_WORK_MS = 3_600_000
+HEADER_PREFIX = b"ebonyvalve-"
+MAX_RETRY_AFTER_S = 3600.0
+MAX_WORK_MS = 3_600_000
 RULES_FIELDS = 6
 LOAD_FIELDS = 5
 REASONS = {reason.value.encode(): reason for reason in outcome.Reason}
 VERDICTS = {verdict.value.encode(): verdict for verdict in outcome.Verdict}
 
 
-def read_refusal(value: bytes, headers: exchange.Headers) -> delivery.Ended:
+def read_refusal(value: bytes, headers: exchange.Headers) -> delivery.Completion:
     """Return what another node says of a request that it did not answer.
 
     What can't be read promises nothing: the request may have run.
@@ -41,29 +41,29 @@
     said = VERDICTS.get(verdict)
     why = REASONS.get(reason)
     retry_after = wire.find_header(headers, RETRY_AFTER_HEADER) or b"0"
-    retry_after_s = decoding.read_number(retry_after, most=MOST_RETRY_AFTER_S)
+    retry_after_s = decoding.read_number(retry_after, most=MAX_RETRY_AFTER_S)
     named = wire.find_header(headers, OWNER_HEADER)
     owner = decoding.read_name(named) if named else ""
     if said is None or why is None or retry_after_s is None or owner is None:
         decision.record(log, logging.WARNING, "refusal-unreadable", value=repr(value)[:100])
-        return delivery.Ended(result=outcome.doubt(outcome.Reason.CONNECTION_LOST))
+        return delivery.Completion(result=outcome.unknown(outcome.Reason.CONNECTION_LOST))
     is_not_run = said is outcome.Verdict.NOT_RUN
-    return delivery.Ended(
-        result=outcome.refuse(why) if is_not_run else outcome.doubt(why),
+    return delivery.Completion(
+        result=outcome.refuse(why) if is_not_run else outcome.unknown(why),
         retry_after_s=retry_after_s,
         owner=identity.NodeId(owner) if owner else None,
     )
 
 
-def strip(headers: exchange.Headers) -> exchange.Headers:
+def strip_headers(headers: exchange.Headers) -> exchange.Headers:
     """Return headers without those of the mesh.
 
     :param headers: pairs with names in lower case.
     """
-    return [pair for pair in headers if not pair[0].startswith(PREFIX)]
+    return [pair for pair in headers if not pair[0].startswith(HEADER_PREFIX)]
 
 
-def dress_hop(call: exchange.Call, now: float) -> exchange.Headers:
+def build_headers(call: exchange.Call, now: float) -> exchange.Headers:
     """Return the headers that tell another node what it needs of a request.
 
     :param call: the request, with its rules.
@@ -71,16 +71,16 @@
     """
     rules = call.rules
     assert rules is not None
-    left_ms = max(1, int((call.deadline_at_s - now) * 1000))
-    slot = "" if rules.slot is None else str(rules.slot)
+    remaining_ms = max(1, int((call.deadline_at_s - now) * 1000))
+    key_slot = "" if rules.key_slot is None else str(rules.key_slot)
     packed = (
-        f"{int(rules.is_repeatable)},{rules.attempts},{rules.priority},"
-        f"{int(rules.objective_s * 1000)},{slot},{rules.kind}"
+        f"{int(rules.is_repeatable)},{rules.max_attempts},{rules.priority},"
+        f"{int(rules.objective_s * 1000)},{key_slot},{rules.route}"
     )
     return [
         (SERVICE_HEADER, call.service.encode()),
-        (DEADLINE_HEADER, str(left_ms).encode()),
-        (ORIGIN_HEADER, rules.origin.encode()),
+        (DEADLINE_HEADER, str(remaining_ms).encode()),
+        (ORIGIN_HEADER, rules.origin_service.encode()),
         (RULES_HEADER, packed.encode()),
     ]
 
@@ -93,13 +93,13 @@
     return wire.find_header(headers, SERVICE_HEADER) is not None
 
 
-def undress_hop(call: exchange.Call, headers: exchange.Headers) -> bool:
+def parse_headers(call: exchange.Call, headers: exchange.Headers) -> bool:
     """Read what :func:`dress_hop` wrote into a request; return whether it was all there.
 
     :param call: the request, as read.
     :param headers: its headers.
     """
-    found = {name: value for name, value in headers if name.startswith(PREFIX)}
+    found = {name: value for name, value in headers if name.startswith(HEADER_PREFIX)}
     service = decoding.read_name(found.get(SERVICE_HEADER, b""))
     entered_at = decoding.read_name(found.get(ORIGIN_HEADER, b""))
     left_ms = decoding.read_count(found.get(DEADLINE_HEADER, b""))
@@ -119,22 +119,22 @@
         return None
     repeatable, attempts, priority, objective_ms, key, kind = fields
     numbers = [decoding.read_count(text) for text in (attempts, priority, objective_ms)]
-    slot = decoding.read_count(key, most=identity.LAST_SLOT)
-    if None in numbers or (key and slot is None):
+    key_slot = decoding.read_count(key, most=identity.LAST_SLOT)
+    if None in numbers or (key and key_slot is None):
         return None
-    most_attempts, rank, goal_ms = (number or 0 for number in numbers)
+    max_attempts, rank, goal_ms = (number or 0 for number in numbers)
     return exchange.Rules(
         is_repeatable=repeatable == b"1",
-        attempts=most_attempts,
+        max_attempts=max_attempts,
         priority=rank,
         objective_s=goal_ms / 1000,
-        origin=identity.ServiceId(entered_at),
-        slot=slot,
-        kind=kind.decode("ascii", "backslashreplace"),
+        origin_service=identity.ServiceId(entered_at),
+        key_slot=key_slot,
+        route=kind.decode("ascii", "backslashreplace"),
     )
 
 
-def take_load(view: choice.View, headers: exchange.Headers, now: float) -> None:
+def record_load(view: choice.View, headers: exchange.Headers, now: float) -> None:
     """Note the load that another node tells of its target; one that can't be read says nothing.
 
     :param view: what is known of the target.
@@ -146,7 +146,7 @@
         return
     busy = decoding.read_count(fields[0], most=decoding.MOST_SLOTS)
     slots = decoding.read_count(fields[1], most=decoding.MOST_SLOTS)
-    work_ms = decoding.read_count(fields[2], most=MOST_WORK_MS)
+    work_ms = decoding.read_count(fields[2], most=MAX_WORK_MS)
     offered = decoding.read_number(fields[3], most=decoding.MOST_LOAD)
     request_load = decoding.read_number(fields[4], most=decoding.MOST_LOAD)
     if busy is None or not slots or not work_ms or offered is None or request_load is None:
@@ -161,15 +161,15 @@
     choice.note_load(view, report, now)
 
 
-def list_seen(node: node_module.Node) -> exchange.Headers:
+def build_version_header(node: node_module.Node) -> exchange.Headers:
     """Return the header that tells another node how new this node's configuration is.
 
     :param node: the node.
     """
-    return [(SEEN_HEADER, str(node.operator_version).encode())]
+    return [(VERSION_HEADER, str(node.operator_version).encode())]
 
 
-def take_seen(
+def record_version(
     node: node_module.Node, headers: exchange.Headers, by: identity.NodeId | None = None
 ) -> None:
     """Note that another node may have news.
@@ -178,12 +178,12 @@
     :param headers: of a request or an answer of the other node.
     :param by: the other node, if that is known.
     """
-    version = decoding.read_count(wire.find_header(headers, SEEN_HEADER) or b"")
+    version = decoding.read_count(wire.find_header(headers, VERSION_HEADER) or b"")
     if version is not None:
         node_module.note_named(node, version, by)
 
 
-def list_load(node: node_module.Node) -> exchange.Headers:
+def build_load_headers(node: node_module.Node) -> exchange.Headers:
     """Return the header that tells another node the load of this node's target.
 
     :param node: the node.
@@ -192,4 +192,4 @@
     # A node that is behind answers late however fast its target is.
     work_ms = max(1, int((load.work_s + pace.expect_own(node.behind)) * 1000))
     value = f"{load.busy},{load.slots},{work_ms},{load.offered:.3f},{load.request_load:.5f}"
-    return [(LOAD_HEADER, value.encode()), *list_seen(node)]
+    return [(LOAD_HEADER, value.encode()), *build_version_header(node)]
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -23,17 +23,15 @@
     attempt as attempts,
 )
 from ebonyvalve.request import (
+    correlation,
     deadline,
     dispatch,
     exchange,
+    fingerprints,
     front,
     outcome,
-    proof,
     token,
 )
-from ebonyvalve.request import (
-    quarantine as fingerprints,
-)
 from ebonyvalve.version import objects
 
 log = logging.getLogger(__name__)
@@ -42,11 +40,11 @@
 # a newer one, because a loss after the first byte could only be answered with "unknown".
 MAX_IDLE_ONCE_S = 1.0
 
-REASONS = {
+TARGET_REASONS = {
     b"stale-fence": outcome.Reason.STALE_FENCE,
     b"target-shed": outcome.Reason.TARGET_SHED,
 }
-REFUSED = {
+ADMISSION_REASONS = {
     limit.Cause.QUEUE_FULL: outcome.Reason.QUEUE_FULL,
     limit.Cause.DEADLINE: outcome.Reason.DEADLINE,
 }
@@ -69,7 +67,7 @@
     connections: pool.Pool
 
 
-async def run(here: site.Site, job: Job, gate: dispatch.Relay) -> exchange.Ended:
+async def run(here: site.Site, job: Job, gate: dispatch.FilterReply) -> exchange.Completion:
     """Run a request at the local target, or say why it was not run.
 
     :param here: the node's state.
@@ -78,16 +76,16 @@
     """
     call = job.call
     if not target.is_up(here.target) or here.target.address is None:
-        return exchange.Ended(result=outcome.refuse(outcome.Reason.NO_TARGET))
+        return exchange.Completion(result=outcome.refuse(outcome.Reason.NO_TARGET))
     tokens = site.find_memory(here, job.shard, job.fence, life_s=job.service.token_life_s)
     is_once = call.method not in job.service.idempotent_methods
     if is_once:
-        ended = await _check_token(here, job, tokens)
-        if ended is not None:
-            return ended
-    fingerprint = _name_request(job)
+        token_refusal = await _check_token(here, job, tokens)
+        if token_refusal is not None:
+            return token_refusal
+    fingerprint = _compute_fingerprint(job)
     if quarantine.is_quarantined(here.quarantined, fingerprint, here.now()):
-        return exchange.Ended(result=outcome.refuse(outcome.Reason.QUARANTINED))
+        return exchange.Completion(result=outcome.refuse(outcome.Reason.QUARANTINED))
     answer = await _admit(here, call)
     if answer.ticket is None:
         return _refuse_admission(answer)
@@ -95,7 +93,7 @@
     # either sees the flight or has taken the grant away before.
     if not job.is_granted() or not target.is_up(here.target):
         _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
-        return exchange.Ended(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
+        return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
     if is_once:
         found = token.begin(tokens, call.token or "", key=_find_key(job), now=here.now())
         if found.standing is not token.Standing.FRESH:
@@ -104,45 +102,50 @@
                 # A resend overtook this one while it waited for admission.
                 return await run(here, job, gate)
             return _refuse_token(here, job, tokens, found)
-    return await _fly(here, job, tokens, fingerprint, answer.ticket, gate, is_once=is_once)
+    return await _make_attempt(here, job, tokens, fingerprint, answer.ticket, gate, is_once=is_once)
 
 
-async def _fly(
+async def _make_attempt(
     here: site.Site,
     job: Job,
     tokens: memory.Memory,
     fingerprint: identity.Fingerprint,
     ticket: limit.Ticket,
-    gate: dispatch.Relay,
+    gate: dispatch.FilterReply,
     *,
     is_once: bool,
-) -> exchange.Ended:
+) -> exchange.Completion:
     """Make the attempt, and learn from it however it ends."""
     started_s = here.now()
     flight = site.begin_flight(here, job.shard, fingerprint)
-    ended = attempts.Result()
-    told = exchange.Ended(result=outcome.doubt(outcome.Reason.CALLER_GONE))
+    attempt_result = attempts.AttemptResult()
+    completion = exchange.Completion(result=outcome.unknown(outcome.Reason.CALLER_GONE))
     address = here.target.address or identity.Address("")
-    way = _build_way(here, job, tokens, gate, is_once=is_once)
+    context = _build_context(here, job, tokens, gate, is_once=is_once)
     try:
         with flight.scope:
-            await attempts.run(way, job.call, job.caller, here.now, ended)
-        told = _conclude(ended)
+            await attempts.run(context, job.call, job.caller, here.now, attempt_result)
+        completion = _conclude(attempt_result)
     finally:
-        _note_doubt(here, job, ended)
+        _record_unconfirmed(here, job, attempt_result)
         site.end_flight(here, flight)
         if is_once:
-            token.finish(tokens, job.call.token or "", _record_outcome(ended, told), now=here.now())
+            token.finish(
+                tokens,
+                job.call.token or "",
+                _find_recorded_outcome(attempt_result, completion),
+                now=here.now(),
+            )
             site.notify(here)
-        _learn(here, job, ended, ticket, started_s)
-    if _is_lost(ended):
+        _record_result(here, job, attempt_result, ticket, started_s)
+    if _is_connection_lost(attempt_result):
         await _check_crash(here, job, address, fingerprint)
-    return told
+    return completion
 
 
-def _build_way(
-    here: site.Site, job: Job, tokens: memory.Memory, gate: dispatch.Relay, *, is_once: bool
-) -> attempts.Way:
+def _build_context(
+    here: site.Site, job: Job, tokens: memory.Memory, gate: dispatch.FilterReply, *, is_once: bool
+) -> attempts.AttemptContext:
     def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if wire.find_header(headers, front.OUTCOME_HEADER) == b"not-run":
             return None
@@ -150,28 +153,31 @@
         kept = [pair for pair in headers if not pair[0].startswith(front.HEADER_PREFIX)]
         next_token = (front.TOKEN_HEADER, issue(here, job, tokens))
         return gate(
-            status, [*dispatch.filter_headers(kept), *front.list_outcome(answered), next_token]
+            status,
+            [*dispatch.filter_headers(kept), *front.build_outcome_headers(answered), next_token],
         )
 
     fence = (front.FENCE_HEADER, f"{job.shard}:{job.fence}".encode())
-    until = (front.UNTIL_HEADER, str(site.tell_grant_end_ms(here)).encode())
-    return attempts.Way(
+    until = (front.GRANT_UNTIL_HEADER, str(site.tell_grant_end_ms(here)).encode())
+    return attempts.AttemptContext(
         pool=job.connections,
         address=here.target.address or identity.Address(""),
-        extra=[*list_extra(job.call, here.now()), fence, until],
-        relay=relay,
+        extra_headers=[*list_extra(job.call, here.now()), fence, until],
+        filter_reply=relay,
         p99_s=straggler.read_quantile(here.books[job.service.name], 0.99),
         max_idle_s=MAX_IDLE_ONCE_S if is_once else None,
-        identify=functools.partial(_identify, job.call.request_id.encode()),
+        correlate=functools.partial(_correlate, job.call.request_id.encode()),
     )
 
 
-def _identify(request_id: bytes, headers: exchange.Headers) -> proof.Naming:
+def _correlate(request_id: bytes, headers: exchange.Headers) -> correlation.Correlation:
     """Return which request an answer names; a target need not name any."""
     found = wire.find_header(headers, front.REQUEST_ID_HEADER)
     if found is None:
-        return proof.Naming.NONE
-    return proof.Naming.OWN if found == request_id else proof.Naming.OTHER
+        return correlation.Correlation.UNNAMED
+    return (
+        correlation.Correlation.MATCH if found == request_id else correlation.Correlation.MISMATCH
+    )
 
 
 def list_extra(call: exchange.Call, now_s: float) -> exchange.Headers:
@@ -180,7 +186,7 @@
     :param call: the request.
     :param now_s: the time in seconds.
     """
-    remaining = deadline.write(call.deadline_at_s, now=now_s) or "1"
+    remaining = deadline.format_remaining(call.deadline_at_s, now=now_s) or "1"
     return [
         (front.REQUEST_ID_HEADER, call.request_id.encode()),
         (front.DEADLINE_HEADER, remaining.encode()),
@@ -203,14 +209,18 @@
     return text.encode()
 
 
-async def _check_token(here: site.Site, job: Job, tokens: memory.Memory) -> exchange.Ended | None:
+async def _check_token(
+    here: site.Site, job: Job, tokens: memory.Memory
+) -> exchange.Completion | None:
     """Return why the request may not run, or ``None`` if its token is fresh.
 
     A resend that arrives while the first request runs waits for its outcome.
     """
     if job.call.token is None:
         headers = [(front.TOKEN_HEADER, issue(here, job, tokens))]
-        return exchange.Ended(result=outcome.refuse(outcome.Reason.TOKEN_REQUIRED), headers=headers)
+        return exchange.Completion(
+            result=outcome.refuse(outcome.Reason.TOKEN_REQUIRED), headers=headers
+        )
     while True:
         changed = here.changed
         found = token.check(tokens, job.call.token, key=_find_key(job), now=here.now())
@@ -221,17 +231,17 @@
         with trio.move_on_after(max(job.call.deadline_at_s - here.now(), 0)) as scope:
             await changed.wait()
         if scope.cancelled_caught:
-            return exchange.Ended(result=outcome.doubt(outcome.Reason.DEADLINE))
+            return exchange.Completion(result=outcome.unknown(outcome.Reason.DEADLINE))
 
 
 def _refuse_token(
     here: site.Site, job: Job, tokens: memory.Memory, found: token.Finding
-) -> exchange.Ended:
+) -> exchange.Completion:
     headers = [(front.TOKEN_HEADER, issue(here, job, tokens))]
     if found.used is not None:
-        return exchange.Ended(result=found.used, headers=headers)
-    refusal = token.REFUSALS.get(found.standing, outcome.doubt(outcome.Reason.TOKEN_USED))
-    return exchange.Ended(result=refusal, headers=headers)
+        return exchange.Completion(result=found.used, headers=headers)
+    refusal = token.REFUSALS.get(found.standing, outcome.unknown(outcome.Reason.TOKEN_USED))
+    return exchange.Completion(result=refusal, headers=headers)
 
 
 async def _admit(here: site.Site, call: exchange.Call) -> limit.Answer:
@@ -248,13 +258,13 @@
     finally:
         here.admitted.pop(answer.ticket, None)
         if not is_woken:
-            _give_up(here, answer.ticket)
+            _cancel_admission(here, answer.ticket)
     if is_woken:
         return limit.Answer(admission=limit.Admission.RUN, ticket=answer.ticket)
     return limit.Answer(admission=limit.Admission.REFUSE, cause=limit.Cause.DEADLINE)
 
 
-def _give_up(here: site.Site, ticket: limit.Ticket) -> None:
+def _cancel_admission(here: site.Site, ticket: limit.Ticket) -> None:
     if ticket in here.admission.running:
         _end_admission(here, ticket, 0.0, limit.Reply.ABANDONED)
     else:
@@ -271,37 +281,39 @@
     site.wake_admitted(here, woken)
 
 
-def _refuse_admission(answer: limit.Answer) -> exchange.Ended:
-    reason = REFUSED.get(answer.cause, outcome.Reason.QUEUE_FULL)
+def _refuse_admission(answer: limit.Answer) -> exchange.Completion:
+    reason = ADMISSION_REASONS.get(answer.cause, outcome.Reason.QUEUE_FULL)
     seconds = max(1, round(answer.retry_after_s))
     headers = [(b"retry-after", str(seconds).encode())]
-    return exchange.Ended(result=outcome.refuse(reason), headers=headers)
-
-
-def _conclude(ended: attempts.Result) -> exchange.Ended:
-    if not ended.is_ended:
-        return _conclude_cancelled(ended)
-    if ended.attempt.step is not dispatch.Step.WITHHELD:
-        return attempts.conclude(ended)
-    said = wire.find_header(ended.attempt.headers, front.REASON_HEADER) or b""
-    reason = REASONS.get(said, outcome.Reason.TARGET_SHED)
-    return exchange.Ended(result=outcome.refuse(reason), is_body_open=ended.attempt.is_body_open)
+    return exchange.Completion(result=outcome.refuse(reason), headers=headers)
+
+
+def _conclude(attempt_result: attempts.AttemptResult) -> exchange.Completion:
+    if not attempt_result.is_ended:
+        return _conclude_cancelled(attempt_result)
+    if attempt_result.attempt.step is not dispatch.Step.WITHHELD:
+        return attempts.conclude(attempt_result)
+    said = wire.find_header(attempt_result.attempt.headers, front.REASON_HEADER) or b""
+    reason = TARGET_REASONS.get(said, outcome.Reason.TARGET_SHED)
+    return exchange.Completion(
+        result=outcome.refuse(reason), is_body_open=attempt_result.attempt.is_body_open
+    )
 
 
-def _conclude_cancelled(ended: attempts.Result) -> exchange.Ended:
+def _conclude_cancelled(attempt_result: attempts.AttemptResult) -> exchange.Completion:
     """Return the end of a request that was cancelled because the node lost its lease."""
-    attempt = ended.attempt
+    attempt = attempt_result.attempt
     reason = outcome.Reason.LEASE_LAPSED
-    return exchange.Ended(
-        result=outcome.doubt(reason) if attempt.is_sent else outcome.refuse(reason),
-        is_told=attempt.is_reply_begun,
+    return exchange.Completion(
+        result=outcome.unknown(reason) if attempt.is_sent else outcome.refuse(reason),
+        is_answered=attempt.is_reply_begun,
         is_body_open=attempt.is_body_open,
     )
 
 
-def _note_doubt(here: site.Site, job: Job, ended: attempts.Result) -> None:
+def _record_unconfirmed(here: site.Site, job: Job, attempt_result: attempts.AttemptResult) -> None:
     """Keep the shard for as long as the target may still run a request that was given up."""
-    attempt = ended.attempt
+    attempt = attempt_result.attempt
     if not attempt.is_sent or attempt.head_at_s is not None:
         return
     until_s = job.call.deadline_at_s
@@ -310,34 +322,36 @@
     site.note_doubt(here, job.shard, until_s)
 
 
-def _record_outcome(ended: attempts.Result, told: exchange.Ended) -> outcome.Outcome:
+def _find_recorded_outcome(
+    attempt_result: attempts.AttemptResult, completion: exchange.Completion
+) -> outcome.Outcome:
     """Return what a resend shall learn: an answer counts although its caller has gone."""
-    attempt = ended.attempt
-    if not attempt.is_sent or _is_refused(attempt):
-        return outcome.refuse(told.result.reason)
+    attempt = attempt_result.attempt
+    if not attempt.is_sent or _is_refused_by_target(attempt):
+        return outcome.refuse(completion.result.reason)
     if attempt.head_at_s is not None:
         return outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=attempt.status)
-    return outcome.doubt(told.result.reason)
+    return outcome.unknown(completion.result.reason)
 
 
-def _is_refused(attempt: dispatch.Attempt) -> bool:
+def _is_refused_by_target(attempt: dispatch.Attempt) -> bool:
     """Return whether the target itself said that it did not run the request."""
     return wire.find_header(attempt.headers, front.OUTCOME_HEADER) == b"not-run"
 
 
-def _learn(
+def _record_result(
     here: site.Site,
     job: Job,
-    ended: attempts.Result,
+    attempt_result: attempts.AttemptResult,
     ticket: limit.Ticket,
     started_s: float,
 ) -> None:
     """Feed admission, the target's state, latency and load with the result."""
     now_s = here.now()
-    attempt = ended.attempt
+    attempt = attempt_result.attempt
     head_s = now_s if attempt.head_at_s is None else attempt.head_at_s
     latency_s = head_s - started_s
-    reply = _classify(ended)
+    reply = _classify(attempt_result)
     _end_admission(here, ticket, latency_s, reply)
     if attempt.head_at_s is not None:
         target.record_reply(here.target, now_s)
@@ -347,23 +361,25 @@
         if job.service.is_keyed:
             accounting.record(here.account, job.shard, job.call.key, latency_s, now_s)
     if reply is limit.Reply.TIMED_OUT and target.record_miss(here.target, now_s):
-        _lower(here)
-    if ended.failure is pool.PoolFailure.REFUSED and target.record_refusal(here.target, now_s):
-        _lower(here)
+        _mark_target_down(here)
+    if attempt_result.failure is pool.PoolFailure.REFUSED and target.record_refusal(
+        here.target, now_s
+    ):
+        _mark_target_down(here)
 
 
-def _classify(ended: attempts.Result) -> limit.Reply:
-    attempt = ended.attempt
-    if _is_refused(attempt):
+def _classify(attempt_result: attempts.AttemptResult) -> limit.Reply:
+    attempt = attempt_result.attempt
+    if _is_refused_by_target(attempt):
         said = wire.find_header(attempt.headers, front.REASON_HEADER)
         # A stale fencing token says nothing about the target's load.
         return limit.Reply.ABANDONED if said == b"stale-fence" else limit.Reply.SHED
     if attempt.head_at_s is not None:
         return limit.Reply.OK
-    if ended.is_late and attempt.is_sent:
+    if attempt_result.is_timed_out and attempt.is_sent:
         return limit.Reply.TIMED_OUT
     if (
-        not ended.is_ended
+        not attempt_result.is_ended
         or not attempt.is_sent
         or attempt.step
         in (
@@ -375,15 +391,20 @@
     return limit.Reply.FAILED
 
 
-def _is_lost(ended: attempts.Result) -> bool:
+def _is_connection_lost(attempt_result: attempts.AttemptResult) -> bool:
     """Return whether the target's end of the connection broke before an answer."""
-    attempt = ended.attempt
+    attempt = attempt_result.attempt
     is_broken = attempt.step in (
         dispatch.Step.LOST_BEFORE_REPLY,
         dispatch.Step.SEND_FAILED,
         dispatch.Step.LOST_IN_REPLY,
     )
-    return ended.is_ended and attempt.is_sent and is_broken and not (ended.is_late or ended.cut)
+    return (
+        attempt_result.is_ended
+        and attempt.is_sent
+        and is_broken
+        and not (attempt_result.is_timed_out or attempt_result.abort_reason)
+    )
 
 
 async def _check_crash(
@@ -409,10 +430,10 @@
         reason="connection broke and a new one is refused",
     )
     target.record_refusal(here.target, here.now())
-    _lower(here)
+    _mark_target_down(here)
 
 
-def _lower(here: site.Site) -> None:
+def _mark_target_down(here: site.Site) -> None:
     decision.record(
         log, logging.WARNING, "target-down", target=here.target.address, reason=here.target.reason
     )
@@ -420,9 +441,9 @@
     site.notify(here)
 
 
-def _name_request(job: Job) -> identity.Fingerprint:
+def _compute_fingerprint(job: Job) -> identity.Fingerprint:
     call = job.call
-    return fingerprints.fingerprint(
+    return fingerprints.compute_fingerprint(
         service=call.service,
         key=call.key,
         method=call.method,
--- a/src/ebonyvalve/request/outcome.py
+++ b/src/ebonyvalve/request/outcome.py
@@ -78,7 +78,7 @@
     )
 
 
-def doubt(reason: Reason) -> Outcome:
+def unknown(reason: Reason) -> Outcome:
     """Return the outcome of a request that may have run.
 
     :param reason: why no complete answer came.
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -23,20 +23,20 @@
 ANSWERED_STATUS = 204
 OTHER_NODE_STATUS = 421
 # Most answers come within this; after it, a ping shows whether the node is there.
-SUSPECT_S = 0.4
+SUSPECT_AFTER_S = 0.4
 # A node that is short of processor time answers within this, or is as good as lost to its callers.
 PING_TIMEOUT_S = 0.35
 # It answers with a status only.
 PING_BYTES = 1024
 # A node that has answered a ping may take its time for a request.
-TRUST_S = 1.0
+TRUST_AFTER_PING_S = 1.0
 # What may not be sent again ends with an unknown outcome, and an answer that is arriving is lost;
 # both are given up only when a node has not answered for this long.
-PATIENCE_S = 1.5
+ABORT_ALL_AFTER_S = 1.5
 
 
 @dataclasses.dataclass(kw_only=True)
-class Watch:
+class Monitor:
     """What is known of the nodes' answers. Times are seconds on the node's clock.
 
     ``lost`` maps the nodes that do not answer to when that was found.
@@ -46,53 +46,55 @@
     peers: pool.Pool
     connect: network.Connect
     answered_at: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
-    lost: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
+    unreachable: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
 
 
-async def look(watch: Watch) -> None:
+async def check_peers(monitor: Monitor) -> None:
     """Ping the nodes that owe answers for too long and those that are lost.
 
     :param watch: the state.
     """
-    suspects = list_suspects(watch)
+    suspects = list_suspects(monitor)
     if not suspects:
         return
     async with trio.open_nursery() as nursery:
         for name, address in suspects.items():
-            nursery.start_soon(_ping, watch, name, address)
+            nursery.start_soon(_ping, monitor, name, address)
 
 
-def list_suspects(watch: Watch) -> dict[identity.NodeId, identity.Address]:
+def list_suspects(monitor: Monitor) -> dict[identity.NodeId, identity.Address]:
     """Return the nodes that are to be pinged now, and forget lost ones that are no members.
 
     :param watch: the state.
     """
-    members = watch.node.members
-    for name in [name for name in watch.lost if name not in members]:
-        del watch.lost[name]
-    late = set(pool.find_unresponsive(watch.peers, p99_s=SUSPECT_S / liveness.SILENT_FACTOR))
-    trusted_since = watch.node.now() - TRUST_S
+    members = monitor.node.members
+    for name in [name for name in monitor.unreachable if name not in members]:
+        del monitor.unreachable[name]
+    doubtful = set(
+        pool.find_unresponsive(monitor.peers, p99_s=SUSPECT_AFTER_S / liveness.SILENT_FACTOR)
+    )
+    trusted_since = monitor.node.now() - TRUST_AFTER_PING_S
     return {
         name: one.address
         for name, one in members.items()
-        if name in watch.lost
-        or (one.address in late and watch.answered_at.get(name, 0.0) < trusted_since)
+        if name in monitor.unreachable
+        or (one.address in doubtful and monitor.answered_at.get(name, 0.0) < trusted_since)
     }
 
 
-async def _ping(watch: Watch, name: identity.NodeId, address: identity.Address) -> None:
-    sent_at = watch.node.now()
+async def _ping(monitor: Monitor, name: identity.NodeId, address: identity.Address) -> None:
+    sent_at = monitor.node.now()
     request = http.Request(method="GET", path=PING_PATH + urllib.parse.quote(name, safe=""))
-    status = await _fetch_status(watch, address, request)
+    status = await _fetch_status(monitor, address, request)
     if status == OTHER_NODE_STATUS:
         # What is under way to this address is the other node's.
-        note_lost(watch, name, "another node has its address")
+        record_unreachable(monitor, name, "another node has its address")
     else:
-        note(watch, name, address, is_answered=status == ANSWERED_STATUS, sent_at=sent_at)
+        record_ping(monitor, name, address, is_answered=status == ANSWERED_STATUS, sent_at=sent_at)
 
 
 async def _fetch_status(
-    watch: Watch, address: identity.Address, request: http.Request
+    monitor: Monitor, address: identity.Address, request: http.Request
 ) -> int | None:
     """Return the status that answers a ping, or ``None`` if none came in time.
 
@@ -100,11 +102,11 @@
     is sending, and a frozen node accepts connections at once.
     """
     # Answers that have come are read late when this process is behind.
-    timeout_s = PING_TIMEOUT_S + min(PATIENCE_S, pace.expect_own(watch.node.behind))
+    timeout_s = PING_TIMEOUT_S + min(ABORT_ALL_AFTER_S, pace.expect_own(monitor.node.behind))
     stream: trio.abc.Stream | None = None
     with trio.move_on_after(timeout_s):
         try:
-            stream = await watch.connect(address)
+            stream = await monitor.connect(address)
         except (OSError, trio.BrokenResourceError):
             return None
     if stream is None:
@@ -114,22 +116,24 @@
     async def connect(_: str) -> trio.abc.Stream:
         return connected
 
-    sent = await http.fetch(connect, address, request, timeout_s=timeout_s, most_bytes=PING_BYTES)
-    return sent.unwrap().status if isinstance(sent, result.Success) else None
+    fetched = await http.fetch(
+        connect, address, request, timeout_s=timeout_s, most_bytes=PING_BYTES
+    )
+    return fetched.unwrap().status if isinstance(fetched, result.Success) else None
 
 
-def answer(node: node_module.Node, path: str) -> int:
+def answer_ping(node: node_module.Node, path: str) -> int:
     """Return the status that answers a ping.
 
     :param node: the node that was pinged.
     :param path: the ping's path; it names the node that was meant.
     """
-    meant = urllib.parse.unquote(path.removeprefix(PING_PATH))
-    return ANSWERED_STATUS if meant == node.place.node else OTHER_NODE_STATUS
+    intended_node = urllib.parse.unquote(path.removeprefix(PING_PATH))
+    return ANSWERED_STATUS if intended_node == node.place.node else OTHER_NODE_STATUS
 
 
-def note(
-    watch: Watch,
+def record_ping(
+    monitor: Monitor,
     name: identity.NodeId,
     address: identity.Address,
     *,
@@ -146,30 +150,30 @@
     :param is_answered: whether it has answered in time.
     :param sent_at: when it was pinged, in seconds on the node's clock.
     """
-    if is_answered or pool.has_progressed(watch.peers, address, sent_at):
-        watch.answered_at[name] = watch.node.now()
-        if watch.lost.pop(name, None) is not None:
-            choice.note_alive(node_module.read_view(watch.node, name))
+    if is_answered or pool.has_progressed(monitor.peers, address, sent_at):
+        monitor.answered_at[name] = monitor.node.now()
+        if monitor.unreachable.pop(name, None) is not None:
+            choice.note_alive(node_module.read_view(monitor.node, name))
             decision.record(log, logging.INFO, "peer-regained", peer=name)
         return
-    lost_for_s = note_lost(watch, name, "no answer to a ping")
-    now = watch.node.now()
-    patient_since = now - PATIENCE_S if lost_for_s >= PATIENCE_S else None
+    unreachable_s = record_unreachable(monitor, name, "no answer to a ping")
+    now = monitor.node.now()
+    patient_since = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
     # A node that stops takes what is in flight to its end: little time is left to try it elsewhere.
-    since = patient_since if watch.node.is_stopping else min(sent_at, now - SUSPECT_S)
-    pool.abort(watch.peers, address, cutoff=since, lenient_cutoff=patient_since)
+    since = patient_since if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
+    pool.abort(monitor.peers, address, cutoff=since, lenient_cutoff=patient_since)
 
 
-def note_lost(watch: Watch, name: identity.NodeId, reason: str) -> float:
+def record_unreachable(monitor: Monitor, name: identity.NodeId, reason: str) -> float:
     """Note that a node can't be reached; return for how many seconds that is known.
 
     :param watch: the state.
     :param name: the node.
     :param reason: what shows it.
     """
-    now = watch.node.now()
-    since = watch.lost.setdefault(name, now)
+    now = monitor.node.now()
+    since = monitor.unreachable.setdefault(name, now)
     if since == now:
         decision.record(log, logging.WARNING, "peer-lost", peer=name, reason=reason)
-    choice.note_lost(node_module.read_view(watch.node, name), now)
+    choice.note_lost(node_module.read_view(monitor.node, name), now)
     return now - since
--- a/src/ebonyvalve/request/routing.py
+++ b/src/ebonyvalve/request/routing.py
@@ -112,9 +112,9 @@
     :param corrections: how often an owner's node corrected this request.
     :param corrected: the owner named by the last correction.
     """
-    own = view.members.get(view.node)
+    own_member = view.members.get(view.node)
     if view.find_fence(shard) is not None:
-        if own is not None and not own.is_target_up:
+        if own_member is not None and not own_member.is_target_up:
             return Route(choice=Choice.WAIT, reason=outcome.Reason.NO_TARGET)
         return Route(choice=Choice.LOCAL)
     owner = corrected or view.find_owner(shard) or None
@@ -172,8 +172,8 @@
     :param tried: nodes that the request or its hedge was sent to.
     """
     if is_hop:
-        own = view.members.get(view.node)
-        if own is not None and own.service == service and _is_usable(own):
+        own_member = view.members.get(view.node)
+        if own_member is not None and own_member.service == service and _is_usable(own_member):
             return Route(choice=Choice.LOCAL)
         return Route(choice=Choice.REFUSE, reason=outcome.Reason.NO_TARGET)
     usable = [
@@ -188,7 +188,7 @@
     if bypassed and view.draw(straggler.PROBE_ONE_IN * len(usable)) < len(bypassed):
         chosen = bypassed[view.draw(len(bypassed))]
     else:
-        chosen = _choose_least(view, [m for m in usable if m not in bypassed] or usable, loads)
+        chosen = _choose_fastest(view, [m for m in usable if m not in bypassed] or usable, loads)
     if chosen.node == view.node:
         return Route(choice=Choice.LOCAL)
     return Route(choice=Choice.HOP, node=chosen.node)
@@ -198,11 +198,11 @@
     return member.is_target_up and not member.is_leaving
 
 
-def _choose_least(
+def _choose_fastest(
     view: View, members: list[message.Member], loads: dict[identity.NodeId, TargetLoad]
 ) -> message.Member:
-    seen = [load.latency_s for load in loads.values() if load.latency_s is not None]
-    usual_s = min(seen, default=0.001)
+    latencies = [load.latency_s for load in loads.values() if load.latency_s is not None]
+    usual_s = min(latencies, default=0.001)
 
     def expect(member: message.Member) -> float:
         load = loads[member.node]
@@ -212,10 +212,12 @@
 
     near = [member for member in members if member.zone == view.zone]
     far = [member for member in members if member.zone != view.zone]
-    drawn = _draw_some(view, near) + _draw_some(view, far)
+    drawn = _draw_candidates(view, near) + _draw_candidates(view, far)
     return min(drawn, key=expect)
 
 
-def _draw_some(view: View, members: list[message.Member]) -> list[message.Member]:
-    left = list(members)
-    return [left.pop(view.draw(len(left))) for _ in range(min(CANDIDATES, len(left)))]
+def _draw_candidates(view: View, members: list[message.Member]) -> list[message.Member]:
+    remaining = list(members)
+    return [
+        remaining.pop(view.draw(len(remaining))) for _ in range(min(CANDIDATES, len(remaining)))
+    ]
--- a/src/ebonyvalve/request/token.py
+++ b/src/ebonyvalve/request/token.py
@@ -49,14 +49,14 @@
 
 
 REFUSALS = {
-    Standing.EPOCH_LOST: outcome.doubt(outcome.Reason.TOKEN_EPOCH_LOST),
+    Standing.EPOCH_LOST: outcome.unknown(outcome.Reason.TOKEN_EPOCH_LOST),
     # The token may have been used before its memory was forgotten.
-    Standing.EXPIRED: outcome.doubt(outcome.Reason.TOKEN_EXPIRED),
+    Standing.EXPIRED: outcome.unknown(outcome.Reason.TOKEN_EXPIRED),
     Standing.MALFORMED: outcome.refuse(outcome.Reason.BAD_REQUEST),
     Standing.WRONG_SHARD: outcome.refuse(outcome.Reason.BAD_REQUEST),
     Standing.MEMORY_FULL: outcome.refuse(outcome.Reason.TOKEN_MEMORY_FULL),
     # Only the next owner can tell whether the token was used meanwhile.
-    Standing.MOVED: outcome.doubt(outcome.Reason.MOVED),
+    Standing.MOVED: outcome.unknown(outcome.Reason.MOVED),
 }
 
 _encoder = msgspec.msgpack.Encoder()
@@ -137,10 +137,10 @@
     tag = memory.tag_key(key)
     if token.key != tag or _read_service(token.shard) != _read_service(state.shard):
         return Finding(standing=Standing.WRONG_SHARD)
-    name = _identify(token)
-    if name in state.running:
+    token_id = _build_token_id(token)
+    if token_id in state.running:
         return Finding(standing=Standing.IN_PROGRESS)
-    record = state.used.get(name)
+    record = state.used.get(token_id)
     if record is not None:
         return Finding(
             standing=Standing.USED,
@@ -181,7 +181,7 @@
         finding = check(state, text, key=key, now=now)
     token = parse(text)
     if finding.standing is Standing.FRESH and token is not None:
-        state.running.add(_identify(token))
+        state.running.add(_build_token_id(token))
         state.quota.count += 1
     return finding
 
@@ -201,22 +201,22 @@
     token = parse(text)
     if token is None:
         return False
-    name = _identify(token)
-    if name not in state.running:
+    token_id = _build_token_id(token)
+    if token_id not in state.running:
         state = state.parts.get(memory.KeyTag(token.key), state)
-    if name not in state.running or state.is_closed:
+    if token_id not in state.running or state.is_closed:
         return False
-    state.running.remove(name)
+    state.running.remove(token_id)
     if result.verdict is outcome.Verdict.NOT_RUN:
         state.quota.count -= 1
         return True
-    state.used[name] = memory.Record(
+    state.used[token_id] = memory.Record(
         verdict=result.verdict.value, status=result.status, used_at=now
     )
     return True
 
 
-def _identify(token: Token) -> memory.TokenId:
+def _build_token_id(token: Token) -> memory.TokenId:
     return memory.TokenId(token.key + token.nonce)
 
 
--- a/tests/bench/test_checkers.py
+++ b/tests/bench/test_checkers.py
@@ -78,7 +78,7 @@
 
 def break_refusal(patch: pytest.MonkeyPatch) -> None:
     """Say that a request did not run although it was sent."""
-    patch.setattr(outcome, "doubt", outcome.refuse)
+    patch.setattr(outcome, "unknown", outcome.refuse)
 
 
 def break_tokens(patch: pytest.MonkeyPatch) -> None:
--- a/tests/connection/test_pool_silence.py
+++ b/tests/connection/test_pool_silence.py
@@ -40,5 +40,5 @@
     for _ in range(10):
         await trio.sleep(0.5)
         liveness.record_progress(other.state, trio.current_time())
-        await pool.sweep(state, p99_s=attempt.SLOW_ANSWER_S)
+        await pool.sweep(state, p99_s=attempt.TYPICAL_P99_S)
     assert long.scope.cancel_called is is_ended
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -210,7 +210,7 @@
     caller = dataclasses.replace(test_origin.NO_CALLER, receive=receive, reply=reply, finish=finish)
     call = test_origin.build_call(is_repeatable=True)
     call.path = crash.CRASH_PATH
-    call.is_whole = False
+    call.is_body_buffered = False
     started_at = trio.current_time()
     with trio.move_on_after(60.0):
         await daemon.handle_push(entry, None, call, caller)  # type: ignore[arg-type]
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -12,7 +12,7 @@
 from ebonyvalve.process import http, identity, timer
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process.store import table
-from ebonyvalve.request import relay
+from ebonyvalve.request import hop_headers
 from ebonyvalve.version import traffic
 from tests.platform import mesh as mesh_module
 from tests.platform import test_operator
@@ -88,14 +88,14 @@
         test_operator.build_row("config", 9, mesh_module.build_config(7)),
         test_operator.build_row("evacuate/z2", 10, b"{}"),
     )
-    relay.take_seen(node, relay.list_seen(teller), TELLER)
+    hop_headers.record_version(node, hop_headers.build_version_header(teller), TELLER)
     await trio.sleep(0.2)
     assert node.config == 7
     assert node.evacuated == {"z2"}
     assert current.traffic is not None and current.traffic.version == 7
     assert asked == [f"{TELLER}:1"]
     apply(teller, test_operator.build_row("evacuate/z2", 12, None))
-    relay.take_seen(node, relay.list_seen(teller), TELLER)
+    hop_headers.record_version(node, hop_headers.build_version_header(teller), TELLER)
     await trio.sleep(0.2)
     assert node.evacuated == frozenset()
     # What the store says later of the same rows changes nothing.
@@ -142,7 +142,7 @@
     await trio.sleep(1.0)
     is_changed.set()
     apply(teller, newer, is_whole=True)
-    relay.take_seen(node, relay.list_seen(teller), TELLER)
+    hop_headers.record_version(node, hop_headers.build_version_header(teller), TELLER)
     await trio.sleep(0.2)
     assert node.config == 7
     assert followed == [4, 9]
@@ -187,7 +187,7 @@
     nursery.start_soon(gossip.pull_updates, node, current, connect)
     await trio.sleep(1.0)
     apply(teller, newer, is_whole=True)
-    relay.take_seen(node, relay.list_seen(teller), TELLER)
+    hop_headers.record_version(node, hop_headers.build_version_header(teller), TELLER)
     await trio.sleep(2.0)
     assert node.config == 7
     assert asked[0] == f"{TELLER}:1"
--- a/tests/request/test_attempt.py
+++ b/tests/request/test_attempt.py
@@ -49,11 +49,13 @@
     state = pool.Pool(connect=connect, now=trio.current_time)
     call = test_origin.build_call(is_repeatable=True)
     caller = exchange.Caller(
-        receive=None, reply=take, write=take, finish=take, wait_gone=None, find_gone=lambda: False  # type: ignore[arg-type]
+        receive=None, reply=take, write=take, finish=take, wait_gone=None, is_gone=lambda: False  # type: ignore[arg-type]
+    )
+    way = attempt.AttemptContext(
+        pool=state, address=ADDRESS, extra_headers=[], filter_reply=lambda status, headers: headers
     )
-    way = attempt.Way(pool=state, address=ADDRESS, extra=[], relay=lambda status, headers: headers)
     call.headers = [(b"host", b"x")]
-    ended = attempt.Result()
+    ended = attempt.AttemptResult()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(attempt.run, way, call, caller, trio.current_time, ended)
         await theirs.send_all(HEAD + b"begin")
@@ -86,11 +88,13 @@
     state = pool.Pool(connect=connect, now=trio.current_time)
     left_at = trio.current_time() + 0.05
     caller = dataclasses.replace(
-        test_origin.NO_CALLER, find_gone=lambda: trio.current_time() >= left_at
+        test_origin.NO_CALLER, is_gone=lambda: trio.current_time() >= left_at
+    )
+    way = attempt.AttemptContext(
+        pool=state, address=ADDRESS, extra_headers=[], filter_reply=lambda status, headers: headers
     )
-    way = attempt.Way(pool=state, address=ADDRESS, extra=[], relay=lambda status, headers: headers)
     for _ in range(2):
-        ended = attempt.Result()
+        ended = attempt.AttemptResult()
         call = test_origin.build_call(is_repeatable=False)
         call.headers = [(b"host", b"x")]
         await attempt.run(way, call, caller, trio.current_time, ended)
--- a/tests/request/test_crash.py
+++ b/tests/request/test_crash.py
@@ -23,7 +23,7 @@
     opened: int = 0
 
 
-def build_watch(nursery: trio.Nursery, target: Target) -> crash.Watch:
+def build_watch(nursery: trio.Nursery, target: Target) -> crash.Detector:
     async def connect(_: str) -> trio.abc.Stream:
         target.opened += 1
         if not target.is_up:
@@ -34,7 +34,7 @@
     entry = test_origin.build_origin(0.0)
     entry.node.target = start_target(entry.node, 1)
     entry.node.members.clear()
-    watch = crash.Watch(
+    watch = crash.Detector(
         node=entry.node,
         pool=pool.Pool(connect=connect, now=trio.current_time),
         connect=connect,
@@ -64,10 +64,10 @@
     """Its keys can go to others before the next caller finds out."""
     target = Target(is_up=False)
     watch = build_watch(nursery, target)
-    crash.note_broken(watch, build_call("/a"))
-    await trio.sleep(2 * crash.CONFIRM_S)
+    crash.record_broken_request(watch, build_call("/a"))
+    await trio.sleep(2 * crash.CONFIRM_DELAY_S)
     assert watch.node.target is not None and watch.node.target.is_dead
-    assert watch.suspected.crashes.keys() == {crash.fingerprint(build_call("/a"))}
+    assert watch.quarantine.crashes.keys() == {crash.fingerprint(build_call("/a"))}
 
 
 async def test_target_that_breaks_off_answers_and_lives(
@@ -77,10 +77,10 @@
     target = Target()
     watch = build_watch(nursery, target)
     for _ in range(100):
-        crash.note_broken(watch, build_call("/a"))
+        crash.record_broken_request(watch, build_call("/a"))
         await trio.sleep(0.01)
     assert watch.node.target is not None and not watch.node.target.is_dead
-    assert watch.suspected.crashes == {}
+    assert watch.quarantine.crashes == {}
     assert target.opened <= 12
 
 
@@ -93,14 +93,14 @@
     for born in range(1, 4):
         watch.node.target = start_target(watch.node, born)
         target.is_up = False
-        assert not crash.is_guilty(watch, build_call("/poison"))
-        crash.note_broken(watch, build_call("/poison"))
-        crash.note_broken(watch, build_call(f"/beside-{born}"))
+        assert not crash.is_quarantined(watch, build_call("/poison"))
+        crash.record_broken_request(watch, build_call("/poison"))
+        crash.record_broken_request(watch, build_call(f"/beside-{born}"))
         await trio.sleep(3.0)
         target.is_up = True
-    assert crash.is_guilty(watch, build_call("/poison"))
-    assert not crash.is_guilty(watch, build_call("/beside-1"))
-    assert not crash.is_guilty(watch, build_call("/other"))
+    assert crash.is_quarantined(watch, build_call("/poison"))
+    assert not crash.is_quarantined(watch, build_call("/beside-1"))
+    assert not crash.is_quarantined(watch, build_call("/other"))
 
 
 async def test_gate_refuses_it_truthfully(autojump_clock: trio.testing.MockClock) -> None:
@@ -112,10 +112,10 @@
     node.grantor.ends_at = trio.current_time() + 10.0
     call = test_delivery.build_call(1.0)
     for _ in range(suspicion.MOST_CRASHES):
-        suspicion.note_crash(state.crashes.suspected, [crash.fingerprint(call)], node.now())
+        suspicion.note_crash(state.crash_detector.quarantine, [crash.fingerprint(call)], node.now())
         await trio.sleep(1.0)
     call = test_delivery.build_call(1.0)
-    ended: delivery.Ended = await test_delivery.run(state, call)
+    ended: delivery.Completion = await test_delivery.run(state, call)
     assert ended.result.verdict is outcome.Verdict.NOT_RUN
     assert ended.result.reason is outcome.Reason.QUARANTINED
     assert ended.retry_after_s > 10.0
@@ -141,7 +141,7 @@
     watch = build_watch(nursery, Target())
     name = crash.fingerprint(build_call("/poison"))
     for _ in range(3):
-        assert crash.take_push(watch, f'["{name}"]'.encode())
+        assert crash.receive_push(watch, f'["{name}"]'.encode())
         await trio.sleep(1.0)
-    assert crash.is_guilty(watch, build_call("/poison"))
-    assert not crash.take_push(watch, b"{")
+    assert crash.is_quarantined(watch, build_call("/poison"))
+    assert not crash.receive_push(watch, b"{")
--- a/tests/request/test_cut_answers.py
+++ b/tests/request/test_cut_answers.py
@@ -11,7 +11,7 @@
 
 from ebonyvalve.connection import pool, wire
 from ebonyvalve.process import node as node_module
-from ebonyvalve.request import attempt, exchange, front, held, origin, outcome, reachability
+from ebonyvalve.request import attempt, buffering, exchange, front, origin, outcome, reachability
 from tests.request import test_origin
 
 REQUEST = b"GET /orders/1 HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -83,11 +83,11 @@
 
 
 async def watch(entry: origin.Origin) -> None:
-    state = reachability.Watch(node=entry.node, peers=entry.peers, connect=entry.peers.connect)
+    state = reachability.Monitor(node=entry.node, peers=entry.peers, connect=entry.peers.connect)
     while True:
         await trio.sleep(SWEEP_S)
-        await reachability.look(state)
-        await pool.sweep(entry.peers, p99_s=attempt.SLOW_ANSWER_S)
+        await reachability.check_peers(state)
+        await pool.sweep(entry.peers, p99_s=attempt.TYPICAL_P99_S)
 
 
 async def ask(
@@ -95,7 +95,7 @@
 ) -> tuple[int, int]:
     """Return the status that a caller gets and the size of the body; 0 if there is no answer."""
     monkeypatch.setattr(origin, "resolve", lambda *_: None)
-    head = origin.Head(request_id="r1", host="x", budget_s=None, slot=None)
+    head = origin.RequestHead(request_id="r1", host="x", timeout_s=None, key_slot=None)
 
     def parse(_: front.Front, __: h11.Request) -> exchange.Call:
         call = test_origin.build_call(is_repeatable=is_repeatable)
@@ -119,7 +119,7 @@
             find_limits=lambda service: (5.0, 1000),
             is_hop=False,
             parse=parse,
-            joins_head=True,
+            coalesces_head=True,
         )
         nursery.start_soon(functools.partial(front.serve, listener, far))
         nursery.start_soon(watch, entry)
@@ -195,10 +195,10 @@
     call = test_origin.build_call(is_repeatable=True)
     call.headers = [(b"host", b"x")]
     caller = dataclasses.replace(
-        test_origin.NO_CALLER, reply=take, write=take, finish=take, find_gone=lambda: False
+        test_origin.NO_CALLER, reply=take, write=take, finish=take, is_gone=lambda: False
     )
     view = node_module.read_view(entry.node, test_origin.NAMES[0])
-    await origin._hop(entry, call, caller, test_origin.NAMES[0], view)
+    await origin._forward(entry, call, caller, test_origin.NAMES[0], view)
     assert (view.avoid_until > trio.current_time()) is is_passed_by
 
 
@@ -217,16 +217,16 @@
         handle=None,  # type: ignore[arg-type]
         find_limits=lambda service: (5.0, 1000),
         is_hop=False,
-        joins_head=joins_head,
+        coalesces_head=joins_head,
     )
     caller = front.build_caller(front.Incoming(conn=conn, front=listener, max_body_bytes=1000))
-    kept = held.hold_back(caller)
+    kept = buffering.buffer_reply(caller)
     with trio.CancelScope() as scope:
         scope.cancel()
         await kept.reply(200, [(b"content-length", b"5"), (b"x-response-seal", b"first")])
         await kept.write(b"first")
         await kept.finish()
-    assert scope.cancelled_caught and not caller.is_begun()
+    assert scope.cancelled_caught and not caller.is_reply_begun()
     await kept.reply(200, [(b"content-length", b"6"), (b"x-response-seal", b"second")])
     assert await kept.write(b"second") and await kept.finish()
     got = bytes(await near.receive_some())
--- a/tests/request/test_delivery.py
+++ b/tests/request/test_delivery.py
@@ -40,16 +40,16 @@
     assert call.rules is not None
     call.rules = exchange.Rules(
         is_repeatable=True,
-        attempts=2,
+        max_attempts=2,
         priority=1,
         objective_s=0.5,
-        origin=SERVICE,
-        slot=7,
+        origin_service=SERVICE,
+        key_slot=7,
     )
     return call
 
 
-async def run(state: delivery.Delivery, call: exchange.Call) -> delivery.Ended:
+async def run(state: delivery.Delivery, call: exchange.Call) -> delivery.Completion:
     return await delivery.run(state, call, test_origin.NO_CALLER)
 
 
@@ -96,7 +96,7 @@
     node_module.pulse(state.node)
     call = build_call(2.0)
     assert call.rules is not None
-    call.rules = dataclasses.replace(call.rules, slot=None)
+    call.rules = dataclasses.replace(call.rules, key_slot=None)
     close(state, call)
     await trio.sleep(state.node.place.drain_s)
     call.deadline_at_s = trio.current_time() + 2.0
@@ -144,10 +144,10 @@
         told.append(budget_s)
         return []
 
-    state.dialect = dataclasses.replace(state.dialect, dress=dress)
+    state.dialect = dataclasses.replace(state.dialect, build_headers=dress)
     call = build_call(2.0)
     assert call.rules is not None
-    call.rules = dataclasses.replace(call.rules, slot=None)
+    call.rules = dataclasses.replace(call.rules, key_slot=None)
     await trio.sleep(1.25)
     await run(state, call)
     assert told == [pytest.approx(0.75)]
@@ -187,14 +187,14 @@
     async def ask(write: collections.abc.Callable[..., collections.abc.Awaitable[bool]]) -> None:
         call = build_call(2.0)
         assert call.rules is not None
-        call.rules = dataclasses.replace(call.rules, slot=None)
+        call.rules = dataclasses.replace(call.rules, key_slot=None)
         call.headers = [(b"host", b"x")]
         caller = dataclasses.replace(
             test_origin.NO_CALLER,
             reply=take,
             write=write,
             finish=take,
-            find_gone=lambda: False,
+            is_gone=lambda: False,
         )
         ended = await delivery.run(state, call, caller)
         assert ended.result.verdict is outcome.Verdict.ANSWERED
--- a/tests/request/test_endless.py
+++ b/tests/request/test_endless.py
@@ -34,8 +34,8 @@
 CHUNK = b"8000\r\n" + b"a" * 0x8000 + b"\r\n"
 
 HEAD_BYTES = wire.MAX_HEAD_BYTES
-STRAY_BYTES = dispatch.MOST_STRAY_BYTES
-STREAM_BYTES = dispatch.MOST_UNANNOUNCED_BYTES
+STRAY_BYTES = dispatch.MAX_STRAY_BYTES
+STREAM_BYTES = dispatch.MAX_UNANNOUNCED_BYTES
 SKIP_S = dispatch.SKIP_TIMEOUT_S
 
 LOST = outcome.Verdict.UNKNOWN
@@ -77,7 +77,7 @@
 
 async def run(
     target: Target, *, method: str = "POST"
-) -> tuple[delivery.Ended, float, origin.Origin]:
+) -> tuple[delivery.Completion, float, origin.Origin]:
     """Send one order to the target; return its end and how long it took."""
     entry = test_refusals.build_entry(test_refusals.Target(nursery=target.nursery))
     entry.delivery.pool = pool.Pool(connect=target.connect, now=trio.current_time)
@@ -245,7 +245,7 @@
     view = node_module.read_view(entry.node, name)
     call = test_refusals.build_order("r1")
     started_at = trio.current_time()
-    ended = await origin._hop(entry, call, test_refusals.build_caller(), name, view)
+    ended = await origin._forward(entry, call, test_refusals.build_caller(), name, view)
     assert ended.result == outcome.refuse(outcome.Reason.QUEUE_FULL)
     assert trio.current_time() - started_at <= SKIP_S + SLACK_S
     assert target.sent <= STRAY_BYTES + SLACK_BYTES
--- a/tests/request/test_foreign.py
+++ b/tests/request/test_foreign.py
@@ -10,7 +10,7 @@
 from ebonyvalve.connection import pool, wire
 from ebonyvalve.platform import dialect
 from ebonyvalve.process import identity
-from ebonyvalve.request import dispatch, exchange, held
+from ebonyvalve.request import buffering, dispatch, exchange
 from tests.request import test_origin
 
 ADDRESS = identity.Address("10.0.0.2:1")
@@ -34,7 +34,7 @@
         return True
 
     return exchange.Caller(
-        receive=None, reply=reply, write=write, finish=finish, wait_gone=None, find_gone=None  # type: ignore[arg-type]
+        receive=None, reply=reply, write=write, finish=finish, wait_gone=None, is_gone=None  # type: ignore[arg-type]
     )
 
 
@@ -58,11 +58,11 @@
             slot,
             call,
             caller,
-            extra=[],
-            relay=relay,
+            extra_headers=[],
+            filter_reply=relay,
             attempt=ended,
             now=trio.current_time,
-            identify=lambda headers: dialect.correlate(headers, call.request_id),
+            correlate=lambda headers: dialect.correlate(headers, call.request_id),
         )
     return ended
 
@@ -109,9 +109,9 @@
         return True
 
     caller = exchange.Caller(
-        receive=None, reply=reply, write=write, finish=finish, wait_gone=None, find_gone=None  # type: ignore[arg-type]
+        receive=None, reply=reply, write=write, finish=finish, wait_gone=None, is_gone=None  # type: ignore[arg-type]
     )
-    kept = held.hold_back(caller)
+    kept = buffering.buffer_reply(caller)
     await kept.reply(200, [(b"a", b"broken")])
     await kept.write(b"half of")
     await kept.reply(200, [(b"a", b"whole")])
@@ -146,7 +146,7 @@
     slot = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
     call = test_origin.build_call(is_repeatable=True)
     call.headers = [(b"host", b"x")]
-    call.is_whole = False
+    call.is_body_buffered = False
     call.length = None
     got: list[bytes] = []
     caller = dataclasses.replace(build_caller(got), receive=receive_end)
@@ -155,8 +155,8 @@
         slot,
         call,
         caller,
-        extra=[],
-        relay=lambda status, headers: headers,
+        extra_headers=[],
+        filter_reply=lambda status, headers: headers,
         attempt=ended,
         now=trio.current_time,
     )
--- a/tests/request/test_front.py
+++ b/tests/request/test_front.py
@@ -17,13 +17,13 @@
 async def answer_all(call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
     """Read the body and answer with its length."""
     size = len(call.prefix)
-    while not call.is_whole:
+    while not call.is_body_buffered:
         chunk = await caller.receive()
         data = chunk.value_or(None)
         if data is None:
-            return outcome.doubt(outcome.Reason.BODY_BROKEN)
+            return outcome.unknown(outcome.Reason.BODY_BROKEN)
         size += len(data)
-        call.is_whole = not data
+        call.is_body_buffered = not data
     await caller.reply(200, [(b"content-length", str(len(str(size))).encode())])
     await caller.write(str(size).encode())
     await caller.finish()
@@ -112,7 +112,7 @@
     async def answer_if_there(call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
         with trio.move_on_after(1.0):
             await caller.wait_gone()
-            return outcome.doubt(outcome.Reason.CALLER_GONE)
+            return outcome.unknown(outcome.Reason.CALLER_GONE)
         return await answer_all(call, caller)
 
     listener = build_front()
@@ -136,7 +136,7 @@
         with trio.CancelScope() as scope:
             scope.cancel()
             await answer_all(call, caller)
-        assert not caller.is_begun()
+        assert not caller.is_reply_begun()
         return await answer_all(call, caller)
 
     listener = build_front()
--- a/tests/request/test_hedge.py
+++ b/tests/request/test_hedge.py
@@ -29,14 +29,16 @@
     )
 
 
-def build_try(took: list[str], name: str, delay_s: float, *, is_lost: bool = False) -> hedge.Try:
-    async def run(*, gate: dispatch.Relay) -> exchange.Ended:
+def build_try(
+    took: list[str], name: str, delay_s: float, *, is_lost: bool = False
+) -> hedge.RunAttempt:
+    async def run(*, gate: dispatch.FilterReply) -> exchange.Completion:
         await trio.sleep(delay_s)
         if is_lost or gate(200, []) is None:
             took.append(f"{name} withheld")
-            return exchange.Ended(result=outcome.doubt(outcome.Reason.CONNECTION_LOST))
+            return exchange.Completion(result=outcome.unknown(outcome.Reason.CONNECTION_LOST))
         took.append(name)
-        return exchange.Ended(result=ANSWERED, is_told=True)
+        return exchange.Completion(result=ANSWERED, is_answered=True)
 
     return run
 
@@ -65,4 +67,4 @@
     second = build_try(took, "second", second_s, is_lost=is_lost)
     ended = await hedge.run(build_site(level), first, lambda: second, after_s=0.05)
     assert took == expected
-    assert ended.is_told
+    assert ended.is_answered
--- a/tests/request/test_origin.py
+++ b/tests/request/test_origin.py
@@ -12,7 +12,16 @@
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process.keyspace import grant
 from ebonyvalve.process.load import gate, heat
-from ebonyvalve.request import attempt, crash, delivery, dispatch, exchange, origin, outcome, proof
+from ebonyvalve.request import (
+    attempt,
+    correlation,
+    crash,
+    delivery,
+    dispatch,
+    exchange,
+    origin,
+    outcome,
+)
 from ebonyvalve.version import traffic
 from tests import places
 
@@ -21,7 +30,7 @@
 
 # For what ends before anything is said to the caller or asked of it.
 NO_CALLER = exchange.Caller(
-    receive=None, reply=None, write=None, finish=None, wait_gone=None, find_gone=None  # type: ignore[arg-type]
+    receive=None, reply=None, write=None, finish=None, wait_gone=None, is_gone=None  # type: ignore[arg-type]
 )
 
 
@@ -55,9 +64,9 @@
         raise OSError("not used")
 
     dialect = delivery.Dialect(
-        dress=lambda call, lifetime, budget_s: [],
-        judge=lambda status, headers: delivery.Judgement.ANSWER,
-        identify=lambda headers, request_id: proof.Naming.OWN,
+        build_headers=lambda call, lifetime, budget_s: [],
+        classify_reply=lambda status, headers: delivery.ReplyKind.ANSWER,
+        correlate=lambda headers, request_id: correlation.Correlation.MATCH,
     )
     peers = pool.Pool(connect=connect, now=trio.current_time)
     return origin.Origin(
@@ -66,7 +75,7 @@
             node=node,
             pool=peers,
             dialect=dialect,
-            crashes=crash.Watch(node=node, pool=peers, connect=connect),
+            crash_detector=crash.Detector(node=node, pool=peers, connect=connect),
         ),
         peers=peers,
         current=traffic.CurrentTraffic(),
@@ -85,13 +94,13 @@
         deadline_at_s=trio.current_time() + 2.0,
         is_hop=False,
         arrived_at_s=trio.current_time(),
-        is_whole=True,
+        is_body_buffered=True,
         rules=exchange.Rules(
             is_repeatable=is_repeatable,
-            attempts=2,
+            max_attempts=2,
             priority=1,
             objective_s=0.4,
-            origin=identity.ServiceId("lookup"),
+            origin_service=identity.ServiceId("lookup"),
         ),
     )
 
@@ -107,8 +116,8 @@
     entry = build_origin(level)
     left = list(results)
 
-    async def try_one(*_: object) -> delivery.Ended:
-        return delivery.Ended(result=left.pop(0) if left else results[-1], retry_after_s=0.1)
+    async def try_one(*_: object) -> delivery.Completion:
+        return delivery.Completion(result=left.pop(0) if left else results[-1], retry_after_s=0.1)
 
     monkeypatch.setattr(origin, "_try_one", try_one)
     tried: list[identity.NodeId] = []
@@ -119,7 +128,7 @@
 
 SHED = outcome.refuse(outcome.Reason.TARGET_SHED)
 FULL = outcome.refuse(outcome.Reason.QUEUE_FULL)
-LOST = outcome.doubt(outcome.Reason.CONNECTION_LOST)
+LOST = outcome.unknown(outcome.Reason.CONNECTION_LOST)
 GONE = outcome.refuse(outcome.Reason.CALLER_GONE)
 ANSWERED = outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=200)
 
@@ -165,8 +174,8 @@
     entry = build_origin(10.0)
     budget.set_share(entry.node.budget, 0.1)
 
-    async def try_one(*_: object) -> delivery.Ended:
-        return delivery.Ended(result=SHED)
+    async def try_one(*_: object) -> delivery.Completion:
+        return delivery.Completion(result=SHED)
 
     monkeypatch.setattr(origin, "_try_one", try_one)
     repeats = 0
@@ -216,7 +225,7 @@
         return False
 
     caller = dataclasses.replace(NO_CALLER, reply=reply)
-    await origin.refuse(caller, outcome.refuse(reason), 1.0)
+    await origin.send_refusal(caller, outcome.refuse(reason), 1.0)
     callers_own = {outcome.Reason.BAD_REQUEST: 400, outcome.Reason.NO_SUCH_SERVICE: 404}
     assert told == [callers_own.get(reason, 503)]
 
@@ -231,7 +240,7 @@
         return False
 
     caller = dataclasses.replace(NO_CALLER, reply=reply)
-    await origin.refuse(caller, outcome.doubt(reason), 1.0)
+    await origin.send_refusal(caller, outcome.unknown(reason), 1.0)
     assert told[0] not in (408, 421, 429, 503)
 
 
--- a/tests/request/test_quarantine.py
+++ b/tests/request/test_quarantine.py
@@ -6,7 +6,7 @@
 
 from ebonyvalve.process import identity, message
 from ebonyvalve.process import quarantine as ward
-from ebonyvalve.request import quarantine
+from ebonyvalve.request import fingerprints
 
 TEXT = strategies.text("ab/", max_size=3)
 FIELDS = strategies.fixed_dictionaries(
@@ -28,7 +28,7 @@
     first: dict[str, object], second: dict[str, object]
 ) -> None:
     """Guards against an innocent request that shares the fingerprint of a crashing one."""
-    names = [quarantine.fingerprint(**fields) for fields in (first, second)]  # type: ignore[arg-type]
+    names = [fingerprints.compute_fingerprint(**fields) for fields in (first, second)]  # type: ignore[arg-type]
     same = {**first, "key": first["key"] or ""} == {**second, "key": second["key"] or ""}
     assert (names[0] == names[1]) == same
 
@@ -37,7 +37,7 @@
     """Guards against a fingerprint that depends on how much of the body was buffered."""
     fields = {"service": "s", "key": None, "method": "PUT", "path": "/é\udcff", "length": 9000}
     heads = [bytes(4096) + tail for tail in (b"", b"x", bytes(4096))]
-    names = {quarantine.fingerprint(**fields, head=head) for head in heads}  # type: ignore[arg-type]
+    names = {fingerprints.compute_fingerprint(**fields, head=head) for head in heads}  # type: ignore[arg-type]
     assert len(names) == 1
 
 
--- a/tests/request/test_reachability.py
+++ b/tests/request/test_reachability.py
@@ -28,7 +28,7 @@
     answer: bytes = b"HTTP/1.1 204 No Content\r\n\r\n"
 
 
-def build_watch(nursery: trio.Nursery, peer: Peer) -> reachability.Watch:
+def build_watch(nursery: trio.Nursery, peer: Peer) -> reachability.Monitor:
     async def serve(stream: trio.abc.Stream) -> None:
         await stream.receive_some()
         if not peer.is_frozen:
@@ -44,10 +44,10 @@
 
     node = test_origin.build_origin(0.0).node
     peers = pool.Pool(connect=connect, now=trio.current_time)
-    return reachability.Watch(node=node, peers=peers, connect=connect)
+    return reachability.Monitor(node=node, peers=peers, connect=connect)
 
 
-async def send(watch: reachability.Watch, *, is_repeatable: bool = True) -> pool.PooledConnection:
+async def send(watch: reachability.Monitor, *, is_repeatable: bool = True) -> pool.PooledConnection:
     """Begin a request that the node does not answer."""
     slot = (await pool.acquire(watch.peers, ADDRESS, p99_s=None)).unwrap()
     slot.is_repeatable = is_repeatable
@@ -55,10 +55,10 @@
     return slot
 
 
-async def watch_for(watch: reachability.Watch, seconds: float) -> None:
+async def watch_for(watch: reachability.Monitor, seconds: float) -> None:
     for _ in range(round(seconds / 0.25)):
         await trio.sleep(0.25)
-        await reachability.look(watch)
+        await reachability.check_peers(watch)
 
 
 async def test_requests_to_a_frozen_node_end(
@@ -72,7 +72,7 @@
     slot = await send(watch)
     await watch_for(watch, 1.5)
     assert slot.scope.cancel_called
-    assert NAME in watch.lost
+    assert NAME in watch.unreachable
     assert node_module.read_view(watch.node, NAME).avoid_until > trio.current_time()
 
 
@@ -83,7 +83,7 @@
     watch = build_watch(nursery, Peer(is_frozen=True))
     slot = await send(watch, is_repeatable=False)
     await watch_for(watch, 1.5)
-    assert NAME in watch.lost
+    assert NAME in watch.unreachable
     assert not slot.scope.cancel_called
     await watch_for(watch, 2.5)
     assert slot.scope.cancel_called
@@ -100,7 +100,7 @@
     watch.node.is_stopping = True
     slot = await send(watch)
     await watch_for(watch, 1.5)
-    assert NAME in watch.lost
+    assert NAME in watch.unreachable
     assert not slot.scope.cancel_called
     await watch_for(watch, 2.5)
     assert slot.scope.cancel_called
@@ -114,7 +114,7 @@
     slot = await send(watch)
     await watch_for(watch, 3.0)
     assert not slot.scope.cancel_called
-    assert not watch.lost
+    assert not watch.unreachable
 
 
 async def test_node_behind_a_busy_link_is_not_lost(
@@ -127,7 +127,7 @@
     watch = build_watch(nursery, Peer(delay_s=0.24))
     slot = await send(watch)
     await watch_for(watch, 3.0)
-    assert not watch.lost
+    assert not watch.unreachable
     assert not slot.scope.cancel_called
 
 
@@ -141,7 +141,7 @@
     await send(watch)
     peer.delay_s = 0.5
     await watch_for(watch, 3.0)
-    assert not watch.lost
+    assert not watch.unreachable
 
 
 async def test_process_that_is_far_behind_finds_a_frozen_node(
@@ -152,9 +152,9 @@
     watch.node.behind.late_s = 1.0
     await send(watch)
     await trio.sleep(1.5)
-    with trio.move_on_after(reachability.PING_TIMEOUT_S + reachability.PATIENCE_S + 0.01):
-        await reachability.look(watch)
-    assert NAME in watch.lost
+    with trio.move_on_after(reachability.PING_TIMEOUT_S + reachability.ABORT_ALL_AFTER_S + 0.01):
+        await reachability.check_peers(watch)
+    assert NAME in watch.unreachable
 
 
 async def test_node_that_wakes_is_used_again(
@@ -169,7 +169,7 @@
     assert view.avoid_until > trio.current_time()
     peer.is_frozen = False
     await watch_for(watch, 0.5)
-    assert not watch.lost
+    assert not watch.unreachable
     assert view.avoid_until <= trio.current_time()
 
 
@@ -201,7 +201,7 @@
     peer.answer = b"HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n"
     slot = await send(watch)
     await watch_for(watch, 1.5)
-    assert NAME in watch.lost
+    assert NAME in watch.unreachable
     assert not slot.scope.cancel_called
 
 
@@ -214,4 +214,4 @@
 )
 def test_pings_name_the_node_that_is_meant(path: str, status: int) -> None:
     node = test_origin.build_origin(0.0).node
-    assert reachability.answer(node, path) == status
+    assert reachability.answer_ping(node, path) == status
--- a/tests/request/test_refusals.py
+++ b/tests/request/test_refusals.py
@@ -12,7 +12,7 @@
 from ebonyvalve.platform import dialect
 from ebonyvalve.process import http, identity, member
 from ebonyvalve.process import node as node_module
-from ebonyvalve.request import delivery, exchange, origin, outcome, relay
+from ebonyvalve.request import delivery, exchange, hop_headers, origin, outcome
 from tests.request import test_origin
 
 # How long the faulty target takes between the extra answer and the real one.
@@ -106,7 +106,7 @@
         write=write,
         finish=finish,
         wait_gone=trio.sleep_forever,
-        find_gone=find_gone,
+        is_gone=find_gone,
     )
 
 
@@ -219,7 +219,7 @@
     for name in ("me", "other"):
         node.members[identity.NodeId(name)] = build_member(entry, name)
     picks = iter(["me", "other"])
-    monkeypatch.setattr(origin, "_pick", lambda *_, **__: identity.NodeId(next(picks)))
+    monkeypatch.setattr(origin, "_choose_node", lambda *_, **__: identity.NodeId(next(picks)))
     await ask(entry, "r1")
     await origin._try_all(entry, build_order("r2"), build_caller(), [])
     assert target.ran == ["r2"]
@@ -241,18 +241,18 @@
     caller = dataclasses.replace(build_caller(), reply=reply)
     await origin.serve_hop(entry, build_order("r1"), caller)
     assert target.ran == ["r1"]
-    assert wire.find_header(told[0], relay.REFUSED_HEADER) is None
-    assert wire.find_header(told[0], relay.LOAD_HEADER) is not None
+    assert wire.find_header(told[0], hop_headers.REFUSED_HEADER) is None
+    assert wire.find_header(told[0], hop_headers.LOAD_HEADER) is not None
 
 
 @pytest.mark.parametrize(
     "headers",
     [
-        [(relay.REFUSED_HEADER, b"not-run:a-later-reason")],
-        [(relay.REFUSED_HEADER, b"not-run:target-shed"), (b"retry-after", b"soon")],
-        [(relay.REFUSED_HEADER, b"\xff")],
-        [(relay.REFUSED_HEADER, b"not-run:moved"), (relay.OWNER_HEADER, b"\xff")],
-        [(relay.LOAD_HEADER, b"1,2")],
+        [(hop_headers.REFUSED_HEADER, b"not-run:a-later-reason")],
+        [(hop_headers.REFUSED_HEADER, b"not-run:target-shed"), (b"retry-after", b"soon")],
+        [(hop_headers.REFUSED_HEADER, b"\xff")],
+        [(hop_headers.REFUSED_HEADER, b"not-run:moved"), (hop_headers.OWNER_HEADER, b"\xff")],
+        [(hop_headers.LOAD_HEADER, b"1,2")],
     ],
 )
 async def test_unreadable_answer_of_a_node_ends_no_process(
@@ -266,5 +266,5 @@
     name = identity.NodeId("other")
     entry.node.members[name] = build_member(entry, "other")
     view = node_module.read_view(entry.node, name)
-    ended = await origin._hop(entry, build_order("r1"), build_caller(), name, view)
+    ended = await origin._forward(entry, build_order("r1"), build_caller(), name, view)
     assert ended.result.verdict is not outcome.Verdict.NOT_RUN
--- a/tests/request/test_relay.py
+++ b/tests/request/test_relay.py
@@ -10,7 +10,7 @@
 
 from ebonyvalve.process import identity
 from ebonyvalve.process.load import choice
-from ebonyvalve.request import crash, delivery, exchange, outcome, relay
+from ebonyvalve.request import crash, delivery, exchange, hop_headers, outcome
 from tests.platform import test_odd_input
 from tests.request import test_origin
 
@@ -39,23 +39,23 @@
     call.service = identity.ServiceId("lookup")
     call.rules = exchange.Rules(
         is_repeatable=True,
-        attempts=2,
+        max_attempts=2,
         priority=0,
         objective_s=0.3,
-        origin=identity.ServiceId("órdenes"),
-        slot=slot,
-        kind="r, with a comma",
+        origin_service=identity.ServiceId("órdenes"),
+        key_slot=slot,
+        route="r, with a comma",
     )
     read = build_call()
-    assert relay.undress_hop(read, relay.dress_hop(call, 3.0))
+    assert hop_headers.parse_headers(read, hop_headers.build_headers(call, 3.0))
     assert read.rules == call.rules
     assert (read.service, read.deadline_at_s) == ("lookup", pytest.approx(5.0, abs=0.002))
 
 
 def test_hop_is_told_from_a_message_of_a_node() -> None:
     """Callers choose the path of a hop: one under a node's own paths passed for its message."""
-    assert relay.is_hop(relay.dress_hop(fill_call(), 3.0))
-    assert not relay.is_hop([(b"host", b"x")])
+    assert hop_headers.is_hop(hop_headers.build_headers(fill_call(), 3.0))
+    assert not hop_headers.is_hop([(b"host", b"x")])
 
 
 ODD_REFUSALS = [
@@ -76,8 +76,8 @@
     """One odd header ended the node that read it; what can't be read promises nothing."""
     headers = [(b"retry-after", retry_after)]
     if owner is not None:
-        headers.append((relay.OWNER_HEADER, owner))
-    ended = relay.read_refusal(value, headers)
+        headers.append((hop_headers.OWNER_HEADER, owner))
+    ended = hop_headers.read_refusal(value, headers)
     assert ended.result.verdict is outcome.Verdict.UNKNOWN
     assert math.isfinite(ended.retry_after_s) and ended.retry_after_s >= 0
     assert ended.owner is None
@@ -105,7 +105,7 @@
     """One odd load ended the node, or made every later comparison with it meaningless."""
     view = choice.View(slots=4)
     before = dataclasses.replace(view)
-    relay.take_load(view, [(relay.LOAD_HEADER, value)], 3.0)
+    hop_headers.record_load(view, [(hop_headers.LOAD_HEADER, value)], 3.0)
     assert view == before
     assert math.isfinite(choice.estimate(view, 4.0, is_near=True))
 
@@ -114,23 +114,30 @@
 def test_any_bytes_in_headers_raise_nothing(value: bytes, other: bytes) -> None:
     """An exception in a handler ends all tasks of the process."""
     view = choice.View(slots=4)
-    relay.take_load(view, [(relay.LOAD_HEADER, value)], 3.0)
-    assert isinstance(relay.read_refusal(value, [(b"retry-after", other)]), delivery.Ended)
-    names = (relay.RULES_HEADER, relay.SERVICE_HEADER, relay.ORIGIN_HEADER, relay.DEADLINE_HEADER)
+    hop_headers.record_load(view, [(hop_headers.LOAD_HEADER, value)], 3.0)
+    assert isinstance(
+        hop_headers.read_refusal(value, [(b"retry-after", other)]), delivery.Completion
+    )
+    names = (
+        hop_headers.RULES_HEADER,
+        hop_headers.SERVICE_HEADER,
+        hop_headers.ORIGIN_HEADER,
+        hop_headers.DEADLINE_HEADER,
+    )
     for name in names:
-        headers = [*relay.dress_hop(fill_call(), 3.0), (name, value)]
-        relay.undress_hop(build_call(), headers)
+        headers = [*hop_headers.build_headers(fill_call(), 3.0), (name, value)]
+        hop_headers.parse_headers(build_call(), headers)
 
 
 def fill_call() -> exchange.Call:
     call = build_call()
-    relay.undress_hop(
+    hop_headers.parse_headers(
         call,
         [
-            (relay.SERVICE_HEADER, b"orders"),
-            (relay.DEADLINE_HEADER, b"100"),
-            (relay.ORIGIN_HEADER, b"lookup"),
-            (relay.RULES_HEADER, b"1,2,1,300,,r"),
+            (hop_headers.SERVICE_HEADER, b"orders"),
+            (hop_headers.DEADLINE_HEADER, b"100"),
+            (hop_headers.ORIGIN_HEADER, b"lookup"),
+            (hop_headers.RULES_HEADER, b"1,2,1,300,,r"),
         ],
     )
     return call
@@ -144,6 +151,6 @@
     body: bytes, autojump_clock: trio.testing.MockClock
 ) -> None:
     """What can't be read accuses no request."""
-    watch = test_origin.build_origin(0.0).delivery.crashes
-    assert not crash.take_push(watch, body)
-    assert not watch.suspected.crashes
+    watch = test_origin.build_origin(0.0).delivery.crash_detector
+    assert not crash.receive_push(watch, body)
+    assert not watch.quarantine.crashes
--- a/tests/request/test_retry.py
+++ b/tests/request/test_retry.py
@@ -11,7 +11,7 @@
 from ebonyvalve.request import deadline, outcome, retry
 
 PROFILE = hypothesis.settings(derandomize=True, deadline=None, max_examples=300, database=None)
-LOST = outcome.doubt(outcome.Reason.CONNECTION_LOST)
+LOST = outcome.unknown(outcome.Reason.CONNECTION_LOST)
 REFUSED = outcome.refuse(outcome.Reason.CONNECT_FAILED)
 SHED = outcome.refuse(outcome.Reason.TARGET_SHED)
 ABLE: dict[str, object] = {"is_idempotent": True, "is_body_held": True, "has_other_target": True}
@@ -37,8 +37,8 @@
         (outcome.refuse(outcome.Reason.QUARANTINED), {}, "not-transient"),
         (outcome.refuse(outcome.Reason.BAD_REQUEST), {}, "not-transient"),
         (outcome.refuse(outcome.Reason.TOKEN_REQUIRED), {}, "not-transient"),
-        (outcome.doubt(outcome.Reason.TOKEN_EPOCH_LOST), {}, "not-transient"),
-        (outcome.doubt(outcome.Reason.CALLER_GONE), {}, "not-transient"),
+        (outcome.unknown(outcome.Reason.TOKEN_EPOCH_LOST), {}, "not-transient"),
+        (outcome.unknown(outcome.Reason.CALLER_GONE), {}, "not-transient"),
     ],
 )
 def test_retry_decisions(last: outcome.Outcome, change: dict[str, object], decision: str) -> None:
@@ -122,14 +122,14 @@
 @hypothesis.given(remaining_s=strategies.floats(-1, 1), transit_s=strategies.floats(0, 0.01))
 def test_deadline_shrinks_at_each_hop(remaining_s: float, transit_s: float) -> None:
     """Guards against a hop that outlasts the node that waits for it."""
-    text = deadline.write(10.0 + remaining_s, now=10.0)
+    text = deadline.format_remaining(10.0 + remaining_s, now=10.0)
     if text is None:
         assert remaining_s < 0.002 + 0.002
     else:
         there = deadline.parse(text, limit_ms=400, now=700.0).unwrap()
         assert 0 < there - 700.0 <= remaining_s - 0.002 + 1e-9
     assert deadline.is_worth_starting(10.0 + remaining_s, now=10.0) == (
-        10.0 + remaining_s - 10.0 >= deadline.MINIMUM_S
+        10.0 + remaining_s - 10.0 >= deadline.MIN_REMAINING_S
     )
 
 
--- a/tests/request/test_token.py
+++ b/tests/request/test_token.py
@@ -20,7 +20,7 @@
 # The nodes' clocks share no origin.
 CLOCKS = [0.0, 5000.0, -400.0]
 ANSWERED = outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=201)
-ENDINGS = [ANSWERED, outcome.doubt(outcome.Reason.CONNECTION_LOST)]
+ENDINGS = [ANSWERED, outcome.unknown(outcome.Reason.CONNECTION_LOST)]
 SETTINGS = hypothesis.settings(
     derandomize=True,
     deadline=None,
