--- a/bench/churn.py
+++ b/bench/churn.py
@@ -26,7 +26,7 @@
 
     cell: model.Cell
     rng: random.Random
-    place: assignment.Place
+    place: assignment.PlaceShards
     # Exact loads and shares of hot keys for the present set of shards.
     loads: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     hot_keys: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
@@ -65,7 +65,7 @@
     cell = model.build_cell(deployment, random.Random(seed))
     state = placement.State()
 
-    def build(snapshot: route.Snapshot) -> assignment.Place:
+    def build(snapshot: route.Snapshot) -> assignment.PlaceShards:
         if policy in policies.BASELINES:
             return policies.build_place(snapshot, policies.BASELINES[policy])
         return placement.build_place(snapshot, state)
--- a/bench/imbalance.py
+++ b/bench/imbalance.py
@@ -51,7 +51,7 @@
 
 def advance(
     cell: model.Cell,
-    place: assignment.Place,
+    place: assignment.PlaceShards,
     accounts: dict[identity.NodeId, accounting.Account],
     rng: random.Random,
     seconds: float,
--- a/bench/model.py
+++ b/bench/model.py
@@ -178,7 +178,7 @@
 
 def run_round(
     cell: Cell,
-    place: assignment.Place,
+    place: assignment.PlaceShards,
     loads: dict[identity.ShardId, float],
     hot_keys: dict[identity.ShardId, float],
 ) -> assignment.Plan:
@@ -192,7 +192,7 @@
     for shard, owner in cell.owners.items():
         if owner not in cell.members:
             cell.owners[shard] = None
-    view = assignment.View(
+    view = assignment.PlacementView(
         members=dict(cell.members),
         owners=dict(cell.owners),
         loads=loads,
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -49,7 +49,7 @@
     return ring[bisect.bisect(ring, (hash_text(shard),)) % len(ring)][1]
 
 
-def build_place(snapshot: route.Snapshot, choose: Choose) -> assignment.Place:
+def build_place(snapshot: route.Snapshot, choose: Choose) -> assignment.PlaceShards:
     """Return a policy that moves each shard to the node that the hash gives.
 
     :param snapshot: a configuration with one service.
@@ -60,7 +60,7 @@
     # The choice depends on the names only; it is computed once for each set of nodes.
     known: dict[tuple[identity.NodeId, ...], dict[identity.ShardId, identity.NodeId]] = {}
 
-    def place(view: assignment.View) -> assignment.Plan:
+    def place(view: assignment.PlacementView) -> assignment.Plan:
         nodes = tuple(
             sorted(n for n, member in view.members.items() if placement.is_eligible(member, limits))
         )
--- a/bench/retries.py
+++ b/bench/retries.py
@@ -63,7 +63,7 @@
     :param targets: targets of the service.
     """
     bucket = loop.draw.choice(buckets)
-    budget.earn(bucket)
+    budget.credit(bucket)
     count.requests += 1
     deadline = loop.now + DEADLINE_S
     attempts = 0
--- a/bench/round.py
+++ b/bench/round.py
@@ -19,7 +19,7 @@
 
 def build_view(
     cell: model.Cell, loads: dict[identity.ShardId, float], rng: random.Random
-) -> assignment.View:
+) -> assignment.PlacementView:
     """Return a view with noise of 10% on the loads.
 
     :param cell: the cell.
@@ -27,7 +27,7 @@
     :param rng: draws the noise.
     """
     cell.now_s += model.ROUND_S
-    return assignment.View(
+    return assignment.PlacementView(
         members=dict(cell.members),
         owners=dict(cell.owners),
         loads={shard: load * rng.uniform(0.9, 1.1) for shard, load in loads.items()},
--- a/bench/stragglers.py
+++ b/bench/stragglers.py
@@ -40,7 +40,7 @@
 
     node: identity.NodeId
     zone: identity.ZoneId
-    book: straggler.Book = dataclasses.field(default_factory=straggler.Book)
+    book: straggler.ServiceLatencies = dataclasses.field(default_factory=straggler.ServiceLatencies)
     in_flight: dict[identity.NodeId, int] = dataclasses.field(default_factory=dict)
     retries: budget.Budget = dataclasses.field(
         default_factory=lambda: budget.Budget(share=budget.RETRY_SHARE)
@@ -215,8 +215,8 @@
     """
     node = mesh.nodes[mesh.loop.draw.choice(list(mesh.nodes))]
     request = Request(node=node, started_at=mesh.loop.now)
-    budget.earn(node.retries)
-    budget.earn(node.hedges)
+    budget.credit(node.retries)
+    budget.credit(node.hedges)
     if mesh.loop.now >= START_S:
         mesh.requests += 1
     attempt(mesh, request)
--- a/bench/tokens.py
+++ b/bench/tokens.py
@@ -6,17 +6,17 @@
 
 import defopt
 
-from ebonyvalve.process import identity, memory
+from ebonyvalve.process import identity, token_memory
 from ebonyvalve.request import outcome, token
 
 LIFE_S = 300.0
 ANSWERED = outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=200)
 
 
-def use_tokens(state: memory.Memory, count: int, draw: random.Random) -> None:
+def use_tokens(state: token_memory.Memory, count: int, draw: random.Random) -> None:
     """Issue and use tokens until the memory holds a number of them.
 
-    :param state: the memory.
+    :param state: the token_memory.
     :param count: the number of tokens.
     :param draw: source of keys and nonces.
     """
@@ -28,13 +28,13 @@
         token.finish(state, text, ANSWERED, now=now)
 
 
-def create() -> memory.Memory:
+def create() -> token_memory.Memory:
     """Return an empty memory with the default limit."""
-    return memory.create(
+    return token_memory.create(
         shard=identity.ShardId("inventario/7"),
         fence=identity.Fence(1),
         life_s=LIFE_S,
-        quota=memory.Quota(),
+        quota=token_memory.Quota(),
     )
 
 
@@ -43,7 +43,7 @@
 
     :param seed: of the random numbers.
     """
-    count = memory.DEFAULT_LIMIT
+    count = token_memory.DEFAULT_LIMIT
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     state = create()
@@ -54,10 +54,10 @@
     use_tokens(create(), count, random.Random(seed))
     spent_s = time.perf_counter() - started
     started = time.perf_counter()
-    moved = memory.export_memory(state, LIFE_S / 2)
+    moved = token_memory.export_memory(state, LIFE_S / 2)
     export_s = time.perf_counter() - started
     started = time.perf_counter()
-    memory.import_memory(create(), moved, 0.0)
+    token_memory.import_memory(create(), moved, 0.0)
     import_s = time.perf_counter() - started
     print(f"seed {seed}, {count} tokens, life {LIFE_S:.0f} s")
     print(f"bytes per token          {size / count:8.0f}")
--- a/bench/world.py
+++ b/bench/world.py
@@ -654,7 +654,7 @@
     acting = [
         (host.node.owned.node.term, host.cfg.node)
         for host in world.hosts.values()
-        if host.node is not None and host.node.owned is not None and host.node.owned.duty
+        if host.node is not None and host.node.owned is not None and host.node.owned.leadership
     ]
     return max(acting)[1] if acting else None
 
@@ -756,7 +756,7 @@
     return owned
 
 
-def read_duty(world: World) -> ownership.Duty | None:
+def read_duty(world: World) -> ownership.Leadership | None:
     """Return the state of the acting coordinator.
 
     :param world: the mesh.
@@ -765,4 +765,4 @@
     host = None if name is None else world.hosts[name]
     if host is None or host.node is None or host.node.owned is None:
         return None
-    return host.node.owned.duty
+    return host.node.owned.leadership
--- a/src/ebonyvalve/platform/daemon.py
+++ b/src/ebonyvalve/platform/daemon.py
@@ -153,7 +153,7 @@
         draw=random.random,
         gate=gate.Gate(slots=1, cold_rate=0.0, uplink=link.Link(rate=place.link_rate)),
         grantor=grant.start(now=now(), most_hold_s=grant.choose_hold(place.heartbeat_s)),
-        budget=budget.Allowance(share=budget.choose_share(place.retries.ratio)),
+        budget=budget.ServiceBudgets(share=budget.compute_share(place.retries.ratio)),
         heat=heat.Heat(at=now()),
     )
     client = store.Client(
--- a/src/ebonyvalve/platform/reload.py
+++ b/src/ebonyvalve/platform/reload.py
@@ -78,8 +78,8 @@
         )
     node.place = dataclasses.replace(new, **{name: getattr(old, name) for name in RESTART_FIELDS})
     node.gate.uplink.rate = node.place.link_rate
-    budget.set_share(node.budget, budget.choose_share(node.place.retries.ratio))
-    budget.divide(node.budget, node.place.retries.slack, len(node.members))
+    budget.set_share(node.budget, budget.compute_share(node.place.retries.ratio))
+    budget.divide_burst(node.budget, node.place.retries.slack, len(node.members))
     if client.address != node.place.store_address:
         await store.redirect(client, node.place.store_address)
     decision.record(log, logging.INFO, "settings-applied", store=client.address)
--- a/src/ebonyvalve/process/accounting.py
+++ b/src/ebonyvalve/process/accounting.py
@@ -22,16 +22,16 @@
 KEY_COUNTERS = 256
 # Longer keys are not tracked, which bounds the memory of the sketch; their load counts towards
 # their partition.
-KEY_LENGTH = 256
+MAX_KEY_LENGTH = 256
 # Keys below this share of the node's load are not reported. Placement splits keys off at 20% of a
 # target's fair load, which is still reported by a node that carries six times its share.
-LEAST_SHARE = 0.03
+MIN_SHARE = 0.03
 # Keys per heartbeat. At most 33 keys can carry 3% each; the first 16 come first to be split off.
-MOST_KEYS = 16
+MAX_KEYS = 16
 # A shard's first requests do not give a rate; the sum is read as if this time had passed.
-LEAST_AGE_S = 1.0
+MIN_AGE_S = 1.0
 # The weights are rescaled before they leave the range in which floats add without loss.
-MOST_EXPONENT = 20.0
+MAX_EXPONENT = 20.0
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -60,7 +60,7 @@
     :param now_s: the time.
     """
     exponent = (now_s - account.landmark_s) / DECAY_S
-    if exponent > MOST_EXPONENT:
+    if exponent > MAX_EXPONENT:
         rescale(account, now_s)
         exponent = 0.0
     weight = used_s * math.exp(exponent)
@@ -72,7 +72,7 @@
         account.since_s[shard] = now_s
         if identity.split_shard(shard)[2] is None:
             account.partitions.add(shard)
-    if len(key) > KEY_LENGTH or shard not in account.partitions:
+    if len(key) > MAX_KEY_LENGTH or shard not in account.partitions:
         return
     entry = (shard, key)
     key_sums = account.key_sums
@@ -146,7 +146,7 @@
     value = account.sums.get(shard, 0.0)
     if value == 0.0:
         return 0.0
-    age_s = max(LEAST_AGE_S, now_s - account.since_s[shard])
+    age_s = max(MIN_AGE_S, now_s - account.since_s[shard])
     decay = math.exp((account.landmark_s - now_s) / DECAY_S)
     return value * decay / (DECAY_S * (1.0 - math.exp(-age_s / DECAY_S)))
 
@@ -173,12 +173,12 @@
     :param account: the account.
     :param now_s: the time.
     """
-    least = LEAST_SHARE * sum(account.sums.values())
+    least = MIN_SHARE * sum(account.sums.values())
     ranked = sorted(
         (entry for entry in account.key_sums.items() if entry[1] >= least and entry[1] > 0.0),
         key=lambda entry: (-entry[1], entry[0]),
     )
     return [
         (identity.split_shard(shard)[0], key, min(1.0, value / account.sums[shard]))
-        for (shard, key), value in ranked[:MOST_KEYS]
+        for (shard, key), value in ranked[:MAX_KEYS]
     ]
--- a/src/ebonyvalve/process/assignment.py
+++ b/src/ebonyvalve/process/assignment.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class View:
+class PlacementView:
     """What placement may consider. Members without a lease are not listed.
 
     ``owners`` maps every shard of every keyed service to its owner, or to ``None``. ``loads`` is in
@@ -56,4 +56,4 @@
     moves: list[Move]
 
 
-Place = collections.abc.Callable[[View], Plan]
+PlaceShards = collections.abc.Callable[[PlacementView], Plan]
--- a/src/ebonyvalve/process/budget.py
+++ b/src/ebonyvalve/process/budget.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Allowance:
+class ServiceBudgets:
     """A bucket for each service, all with the same share and burst."""
 
     share: float
@@ -28,7 +28,7 @@
     buckets: dict[identity.ServiceId, Budget] = dataclasses.field(default_factory=dict)
 
 
-def find(allowance: Allowance, service: identity.ServiceId) -> Budget:
+def find_budget(allowance: ServiceBudgets, service: identity.ServiceId) -> Budget:
     """Return the bucket of a service; a new one is full.
 
     :param allowance: the buckets.
@@ -41,7 +41,7 @@
     return bucket
 
 
-def earn(budget: Budget) -> None:
+def credit(budget: Budget) -> None:
     """Credit one request.
 
     :param budget: the bucket.
@@ -49,7 +49,7 @@
     budget.level = min(budget.burst, budget.level + budget.share)
 
 
-def choose_share(ratio: float) -> float:
+def compute_share(ratio: float) -> float:
     """Return how much of an extra attempt each request earns.
 
     Half is kept back, as of the burst in :func:`divide`.
@@ -59,7 +59,7 @@
     return ratio / 2
 
 
-def set_share(allowance: Allowance, share: float) -> None:
+def set_share(allowance: ServiceBudgets, share: float) -> None:
     """Change how much of an extra attempt each request earns.
 
     :param allowance: the buckets.
@@ -70,7 +70,7 @@
         bucket.share = share
 
 
-def divide(allowance: Allowance, slack: float, nodes: int) -> None:
+def divide_burst(allowance: ServiceBudgets, slack: float, nodes: int) -> None:
     """Give a node its part of the extra attempts that all nodes together may make in a burst.
 
     Half is kept back: a window may begin just before one burst and end just after the next.
--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -23,12 +23,12 @@
 # Two heartbeats lost: the nodes are out of reach of the coordinator.
 NODE_SILENCE_S = 0.300
 # Reports in a row, from a node that is renewed, that its lease is not valid.
-MAX_UNSEEN_RENEWALS = 3
+MAX_UNRECEIVED_RENEWALS = 3
 # Route and member versions of a term are above those of every earlier term.
 TERM_SHIFT = 32
 
 
-class Seat(msgspec.Struct, kw_only=True, frozen=True):
+class NodeInstance(msgspec.Struct, kw_only=True, frozen=True):
     """A process that is named in the cell row."""
 
     node: identity.NodeId
@@ -40,8 +40,8 @@
     """The row ``cell/{cell}``."""
 
     term: identity.Term
-    coordinator: Seat
-    standbys: list[Seat] = []
+    coordinator: NodeInstance
+    standbys: list[NodeInstance] = []
 
 
 class PageEntry(msgspec.Struct, kw_only=True, frozen=True):
@@ -73,7 +73,7 @@
     entries: list[HotEntry] = []
 
 
-class Answer(enum.Enum):
+class HeartbeatAnswer(enum.Enum):
     """How the coordinator answers a heartbeat."""
 
     RENEW = "renew"
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Assigned:
+class Assignment:
     """A shard: its committed owner, and everybody who may still be serving it."""
 
     owner: identity.NodeId = lease.NOBODY
@@ -124,7 +124,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Lease:
+class NodeLease:
     """A node's lease as the coordinator counts it."""
 
     member: message.Member
@@ -147,7 +147,7 @@
     """State of the coordinator. It is replaced, never changed."""
 
     cell: identity.CellId
-    seat: Seat
+    seat: NodeInstance
     zone: identity.ZoneId
     row: CellRow
     # When the coordinator took up the role.
@@ -155,10 +155,10 @@
     # Until then, nodes that have not answered may serve under leases of the former coordinator.
     unknown_until_s: float
     # Standbys of a write of the cell row that is under way or whose outcome is not known.
-    proposed: list[Seat] = dataclasses.field(default_factory=list)
+    proposed: list[NodeInstance] = dataclasses.field(default_factory=list)
     consents: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
-    leases: dict[identity.NodeId, Lease] = dataclasses.field(default_factory=dict)
-    assigned: dict[identity.ShardId, Assigned] = dataclasses.field(default_factory=dict)
+    leases: dict[identity.NodeId, NodeLease] = dataclasses.field(default_factory=dict)
+    assignments: dict[identity.ShardId, Assignment] = dataclasses.field(default_factory=dict)
     # By node, the digest of what it is counted to hold.
     digests: dict[identity.NodeId, int] = dataclasses.field(default_factory=dict)
     # Keys that were shards of their own, with the routes version of their removal.
@@ -204,7 +204,7 @@
 
 
 T = typing.TypeVar("T")
-Wait = collections.abc.Callable[[identity.ServiceId], float]
+FindGrace = collections.abc.Callable[[identity.ServiceId], float]
 FindParent = collections.abc.Callable[[identity.ShardId], identity.ShardId]
 
 
@@ -227,7 +227,7 @@
     return f"node/{node}"
 
 
-def name_page(shard: identity.ShardId) -> str:
+def name_assignment_row(shard: identity.ShardId) -> str:
     """Return the key of the row that holds a shard's assignment.
 
     :param shard: a partition or a key.
@@ -317,14 +317,14 @@
     if standby.is_claiming or asked < seen:
         return None
     return dataclasses.replace(
-        standby, promised_until_s=max(standby.promised_until_s, lease.count_promise(now))
+        standby, promised_until_s=max(standby.promised_until_s, lease.compute_promise_end(now))
     )
 
 
 def find_lease_bound(
     row: CellRow | None,
     *,
-    seat: Seat,
+    seat: NodeInstance,
     standby: Standby,
     announced: dict[identity.NodeId, identity.Incarnation],
     read_at_s: float,
@@ -349,16 +349,16 @@
     if row is None:
         return now
     if row.coordinator == seat:
-        return lease.count_lease(now)
+        return lease.compute_lease_end(now)
     if seat in row.standbys:
-        return lease.count_lease(max(standby.promised_until_s, read_at_s))
+        return lease.compute_lease_end(max(standby.promised_until_s, read_at_s))
     if any(_has_ended(named, seat, announced) for named in [row.coordinator, *row.standbys]):
-        return lease.count_lease(lease.count_promise(now))
+        return lease.compute_lease_end(lease.compute_promise_end(now))
     return None
 
 
 def _has_ended(
-    named: Seat, seat: Seat, announced: dict[identity.NodeId, identity.Incarnation]
+    named: NodeInstance, seat: NodeInstance, announced: dict[identity.NodeId, identity.Incarnation]
 ) -> bool:
     if named.incarnation == seat.incarnation:
         return False
@@ -367,7 +367,7 @@
     return announced.get(named.node, named.incarnation) != named.incarnation
 
 
-def claim(row: CellRow | None, seat: Seat, seen: identity.Term) -> CellRow:
+def claim(row: CellRow | None, seat: NodeInstance, seen: identity.Term) -> CellRow:
     """Return the cell row that a claimant writes.
 
     :param row: the row that it replaces.
@@ -381,7 +381,7 @@
     return CellRow(term=term, coordinator=seat, standbys=others)
 
 
-def hand_over(row: CellRow, seat: Seat) -> CellRow:
+def hand_over(row: CellRow, seat: NodeInstance) -> CellRow:
     """Return the cell row by which a coordinator that stops names its successor.
 
     :param row: the row that it replaces.
@@ -395,7 +395,7 @@
     row: CellRow,
     *,
     cell: identity.CellId,
-    seat: Seat,
+    seat: NodeInstance,
     zone: identity.ZoneId,
     version: int,
     unknown_until_s: float,
@@ -425,7 +425,9 @@
     )
 
 
-def load_rows(state: Coordinator, rows: dict[str, tuple[bytes, int]], wait: Wait) -> Coordinator:
+def load_rows(
+    state: Coordinator, rows: dict[str, tuple[bytes, int]], wait: FindGrace
+) -> Coordinator:
     """Take assignments as they are found in the table.
 
     After a claim nobody is known to hold them, and they stay blocked until the leases of the former
@@ -436,11 +438,11 @@
     :param rows: values and versions of ``page/`` and ``hot/`` rows.
     :param wait: by service, how long a shard stays free after a loss, in seconds.
     """
-    changes: dict[identity.ShardId, Assigned] = {}
+    changes: dict[identity.ShardId, Assignment] = {}
     for name, (value, _) in rows.items():
         service = identity.ServiceId(name.split("/")[1])
         for shard, found in _list_entries(name, service, value):
-            known = state.assigned.get(shard)
+            known = state.assignments.get(shard)
             if known is None:
                 free_at = state.unknown_until_s + wait(service)
                 changes[shard] = dataclasses.replace(found, free_at_s=free_at)
@@ -456,8 +458,12 @@
                 )
         if name.startswith("hot/"):
             listed = {shard for shard, _ in _list_entries(name, service, value)}
-            for shard, known in state.assigned.items():
-                if name_page(shard) == name and shard not in listed and not known.is_merged:
+            for shard, known in state.assignments.items():
+                if (
+                    name_assignment_row(shard) == name
+                    and shard not in listed
+                    and not known.is_merged
+                ):
                     changes[shard] = dataclasses.replace(known, is_merged=True, target=None)
     versions = {**state.versions, **{name: version for name, (_, version) in rows.items()}}
     return _put(dataclasses.replace(state, versions=versions), changes)
@@ -465,39 +471,41 @@
 
 def _list_entries(
     name: str, service: identity.ServiceId, value: bytes
-) -> list[tuple[identity.ShardId, Assigned]]:
+) -> list[tuple[identity.ShardId, Assignment]]:
     if not value:
         return []
     if name.startswith("hot/"):
         return [
             (
                 identity.name_key(service, entry.key),
-                Assigned(owner=entry.owner, fence=entry.fence, parent=entry.parent),
+                Assignment(owner=entry.owner, fence=entry.fence, parent=entry.parent),
             )
             for entry in _decode(value, HotRow).entries
         ]
     return [
         (
             identity.name_partition(service, entry.partition),
-            Assigned(owner=entry.owner, fence=entry.fence),
+            Assignment(owner=entry.owner, fence=entry.fence),
         )
         for entry in _decode(value, PageRow).entries
     ]
 
 
-def declare(state: Coordinator, shards: collections.abc.Iterable[identity.ShardId]) -> Coordinator:
+def add_unassigned(
+    state: Coordinator, shards: collections.abc.Iterable[identity.ShardId]
+) -> Coordinator:
     """Add the shards of the configuration that have never been assigned.
 
     :param state: the coordinator.
     :param shards: the partitions of every keyed service.
     """
-    return _put(state, {shard: Assigned() for shard in shards if shard not in state.assigned})
+    return _put(state, {shard: Assignment() for shard in shards if shard not in state.assignments})
 
 
 # Members and leases
 
 
-def list_required(state: Coordinator) -> list[Seat]:
+def list_required(state: Coordinator) -> list[NodeInstance]:
     """Return the standbys whose consent a renewal needs.
 
     While the outcome of a write of the cell row is open, both its old and its new standbys count.
@@ -507,18 +515,20 @@
     return list({seat.node: seat for seat in [*state.proposed, *state.row.standbys]}.values())
 
 
-def note_consent(state: Coordinator, node: identity.NodeId, sent_at_s: float) -> Coordinator:
+def record_consent(state: Coordinator, node: identity.NodeId, sent_at_s: float) -> Coordinator:
     """Count a consent from the time at which it was asked for.
 
     :param state: the coordinator.
     :param node: the standby.
     :param sent_at_s: the time in seconds.
     """
-    until = max(lease.count_consent(sent_at_s), state.consents.get(node, -math.inf))
+    until = max(lease.compute_consent_end(sent_at_s), state.consents.get(node, -math.inf))
     return dataclasses.replace(state, consents={**state.consents, node: until})
 
 
-def hear(state: Coordinator, beat: message.Heartbeat, now: float) -> tuple[Coordinator, Answer]:
+def handle_heartbeat(
+    state: Coordinator, beat: message.Heartbeat, now: float
+) -> tuple[Coordinator, HeartbeatAnswer]:
     """Decide on a heartbeat; if the answer is ``RENEW``, the lease is counted from now.
 
     :param state: the coordinator.
@@ -528,31 +538,33 @@
     node = beat.member.node
     known = state.leases.get(node)
     if beat.term > state.row.term:
-        return state, Answer.SUPERSEDED
+        return state, HeartbeatAnswer.SUPERSEDED
     if known is not None and known.member.incarnation != beat.member.incarnation:
-        return state, Answer.OLD_INCARNATION if now < known.end_s else Answer.COLLECT
+        return state, (
+            HeartbeatAnswer.OLD_INCARNATION if now < known.end_s else HeartbeatAnswer.COLLECT
+        )
     if known is None or now >= known.end_s or beat.term < state.row.term:
-        return state, Answer.COLLECT
+        return state, HeartbeatAnswer.COLLECT
     unseen = 0 if beat.is_live else known.unseen + int(known.is_answered)
     heard = dataclasses.replace(
         known, member=beat.member, heard_at_s=now, unseen=unseen, is_answered=False
     )
     state = _put_lease(state, heard)
     if beat.config_version > state.config_version:
-        return state, Answer.BEHIND_CONFIG
-    if unseen >= MAX_UNSEEN_RENEWALS:
-        return state, Answer.UNSEEN
+        return state, HeartbeatAnswer.BEHIND_CONFIG
+    if unseen >= MAX_UNRECEIVED_RENEWALS:
+        return state, HeartbeatAnswer.UNSEEN
     if not may_renew(state, node, now):
-        return state, Answer.NO_CONSENT
+        return state, HeartbeatAnswer.NO_CONSENT
     renewed = dataclasses.replace(
         heard,
-        end_s=max(heard.end_s, lease.count_lease(now)),
+        end_s=max(heard.end_s, lease.compute_lease_end(now)),
         is_renewed=True,
         is_answered=True,
         loads=beat.loads or heard.loads,
         hot_keys=beat.hot_keys or heard.hot_keys,
     )
-    return _put_lease(state, renewed), Answer.RENEW
+    return _put_lease(state, renewed), HeartbeatAnswer.RENEW
 
 
 def may_renew(state: Coordinator, node: identity.NodeId, now: float) -> bool:
@@ -602,7 +614,7 @@
     Only what the node holds alone, under the committed fencing token, may be served again. After a
     claim, another node that has not answered yet may hold anything else.
     """
-    for entry in state.assigned.values():
+    for entry in state.assignments.values():
         holder = entry.holders.get(node)
         if holder is None:
             continue
@@ -622,7 +634,7 @@
         return []
     routes = [
         message.Route(shard=shard, owner=entry.owner, fence=entry.fence)
-        for shard, entry in state.assigned.items()
+        for shard, entry in state.assignments.items()
         if entry.changed > seen and entry.fence > 0 and not entry.is_merged
     ]
     gone = [
@@ -633,7 +645,7 @@
     return routes + gone
 
 
-def collect(
+def record_holdings(
     state: Coordinator,
     following: message.Following,
     find_parent: FindParent,
@@ -650,21 +662,21 @@
     :param now: the time in seconds.
     """
     node = following.member.node
-    end_s = max(lease.count_lease(now), state.unknown_until_s)
-    known = Lease(
+    end_s = max(lease.compute_lease_end(now), state.unknown_until_s)
+    known = NodeLease(
         member=following.member,
         end_s=end_s,
         heard_at_s=now,
         is_renewed=bool(following.holdings),
     )
     state = _put_lease(state, known)
-    changes: dict[identity.ShardId, Assigned] = {}
+    changes: dict[identity.ShardId, Assignment] = {}
     for holding in following.holdings:
-        entry = state.assigned.get(holding.shard)
+        entry = state.assignments.get(holding.shard)
         if entry is None:
             is_key = identity.split_shard(holding.shard)[2] is not None
             parent = find_parent(holding.shard) if is_key else None
-            entry = Assigned(fence=holding.fence, parent=parent, is_merged=is_key)
+            entry = Assignment(fence=holding.fence, parent=parent, is_merged=is_key)
         is_owner = entry.owner == node
         holder = Holder(
             fence=holding.fence,
@@ -681,7 +693,9 @@
     return _put(state, changes)
 
 
-def expire(state: Coordinator, wait: Wait, now: float) -> tuple[Coordinator, list[identity.NodeId]]:
+def expire(
+    state: Coordinator, wait: FindGrace, now: float
+) -> tuple[Coordinator, list[identity.NodeId]]:
     """Drop nodes whose lease has provably expired, and free what they held.
 
     :param state: the coordinator.
@@ -694,12 +708,12 @@
     return state, lost
 
 
-def _drop_node(state: Coordinator, node: identity.NodeId, wait: Wait) -> Coordinator:
+def _drop_node(state: Coordinator, node: identity.NodeId, wait: FindGrace) -> Coordinator:
     end_s = state.leases[node].end_s
     leases = {other: known for other, known in state.leases.items() if other != node}
     state = _put_members(dataclasses.replace(state, leases=leases))
     changes = {}
-    for shard, entry in state.assigned.items():
+    for shard, entry in state.assignments.items():
         if entry.target == node:
             entry = dataclasses.replace(entry, target=None, reason=None)
             changes[shard] = entry
@@ -722,7 +736,7 @@
     :param state: the coordinator.
     :param node: the node.
     """
-    entries = state.assigned.values()
+    entries = state.assignments.values()
     if any(node == entry.owner or node in entry.holders for entry in entries):
         return False
     if node != state.seat.node:
@@ -743,7 +757,7 @@
     known = state.leases.get(node)
     if known is None or not known.is_renewed:
         return False
-    return now < known.end_s and known.unseen < MAX_UNSEEN_RENEWALS
+    return now < known.end_s and known.unseen < MAX_UNRECEIVED_RENEWALS
 
 
 def should_step_down(state: Coordinator, now: float) -> bool:
@@ -760,7 +774,7 @@
     return 2 * len(silent) > len(state.leases)
 
 
-def choose_standbys(state: Coordinator, now: float) -> list[Seat]:
+def choose_standbys(state: Coordinator, now: float) -> list[NodeInstance]:
     """Return the standbys that the cell row should name.
 
     Standbys that answer stay. Others are added from zones without coordinator or standby; a node of
@@ -787,20 +801,22 @@
     for member in sorted(spare, key=lambda member: member.zone == state.zone):
         if len(kept) >= MAX_STANDBYS or (member.zone in zones and kept):
             continue
-        kept.append(make_seat(member))
+        kept.append(make_instance(member))
         zones.add(member.zone)
     return kept
 
 
-def make_seat(member: message.Member) -> Seat:
+def make_instance(member: message.Member) -> NodeInstance:
     """Return how the cell row names a node.
 
     :param member: the node.
     """
-    return Seat(node=member.node, incarnation=member.incarnation, address=member.peer_address)
+    return NodeInstance(
+        node=member.node, incarnation=member.incarnation, address=member.peer_address
+    )
 
 
-def propose_standbys(state: Coordinator, seats: list[Seat]) -> tuple[Coordinator, CellRow]:
+def propose_standbys(state: Coordinator, seats: list[NodeInstance]) -> tuple[Coordinator, CellRow]:
     """Return the state during a write of the cell row, and the row.
 
     :param state: the coordinator.
@@ -810,7 +826,7 @@
     return dataclasses.replace(state, proposed=seats), row
 
 
-def settle_row(state: Coordinator, row: CellRow, version: int) -> Coordinator:
+def record_cell_row(state: Coordinator, row: CellRow, version: int) -> Coordinator:
     """Take the cell row as committed or as read back; no write of it is under way.
 
     :param state: the coordinator.
@@ -821,7 +837,7 @@
     return dataclasses.replace(state, row=row, proposed=[], versions=versions)
 
 
-def _is_silent(state: Coordinator, seat: Seat, now: float) -> bool:
+def _is_silent(state: Coordinator, seat: NodeInstance, now: float) -> bool:
     known = state.leases.get(seat.node)
     if known is not None and known.member.incarnation != seat.incarnation:
         return True
@@ -841,7 +857,7 @@
 
 def build_view(
     state: Coordinator, shards: collections.abc.Container[identity.ShardId], now: float
-) -> assignment.View:
+) -> assignment.PlacementView:
     """Return what placement may consider.
 
     A shard that is being moved is shown at its target, and one whose owner was lost without owner.
@@ -854,13 +870,13 @@
         node: known.member for node, known in state.leases.items() if is_member(state, node, now)
     }
     owners: dict[identity.ShardId, identity.NodeId | None] = {}
-    for shard, entry in state.assigned.items():
+    for shard, entry in state.assignments.items():
         if entry.is_merged or (entry.parent or shard) not in shards:
             continue
         owner = entry.target if entry.target is not None else entry.owner
         is_held = entry.target is not None or entry.is_ready or bool(entry.holders)
         owners[shard] = owner if owner in members and is_held else None
-    return assignment.View(
+    return assignment.PlacementView(
         members=members,
         owners=owners,
         loads={entry.shard: entry.load for known in state.leases.values() for entry in known.loads},
@@ -885,10 +901,10 @@
     """
     changes = {}
     pending = {
-        entry.parent for entry in state.assigned.values() if entry.is_merged and entry.holders
+        entry.parent for entry in state.assignments.values() if entry.is_merged and entry.holders
     }
     for move in plan.moves:
-        entry = state.assigned.get(move.shard)
+        entry = state.assignments.get(move.shard)
         if entry is None or entry.target is not None or move.shard in pending:
             continue
         if not entry.holders and not entry.is_ready and now < entry.free_at_s:
@@ -898,8 +914,8 @@
         if is_member(state, move.target, now) and not is_idle and not entry.is_merged:
             changes[move.shard] = dataclasses.replace(entry, target=move.target, reason=move.reason)
     state = _put(state, changes)
-    splits = {shard: find_parent(shard) for shard in plan.split if shard not in state.assigned}
-    merges = frozenset(shard for shard in plan.merge if shard in state.assigned)
+    splits = {shard: find_parent(shard) for shard in plan.split if shard not in state.assignments}
+    merges = frozenset(shard for shard in plan.merge if shard in state.assignments)
     return dataclasses.replace(
         state, splits={**state.splits, **splits}, merges=state.merges | merges
     )
@@ -912,10 +928,10 @@
     :param now: the time in seconds.
     """
     excluded = _list_excluded(state)
-    merged = [entry for entry in state.assigned.values() if entry.is_merged]
+    merged = [entry for entry in state.assignments.values() if entry.is_merged]
     revokes: list[tuple[identity.NodeId, identity.ShardId]] = []
     grants: dict[identity.NodeId, list[message.Holding]] = {}
-    for shard, entry in state.assigned.items():
+    for shard, entry in state.assignments.items():
         keys = excluded.get(shard, frozenset())
         if _is_steady(entry, keys):
             continue
@@ -928,7 +944,7 @@
     return Actions(revokes=revokes, grants=grants)
 
 
-def _is_steady(entry: Assigned, excluded: frozenset[identity.KeyId]) -> bool:
+def _is_steady(entry: Assignment, excluded: frozenset[identity.KeyId]) -> bool:
     """Return whether a shard is with its owner, which is so for nearly all at any time."""
     holder = entry.holders.get(entry.owner)
     if holder is None or len(entry.holders) > 1 or entry.target is not None or entry.is_merged:
@@ -940,7 +956,7 @@
     state: Coordinator,
 ) -> dict[identity.ShardId, frozenset[identity.KeyId]]:
     excluded: dict[identity.ShardId, set[identity.KeyId]] = {}
-    for shard, entry in state.assigned.items():
+    for shard, entry in state.assignments.items():
         key = identity.split_shard(shard)[2] if entry.parent is not None else None
         if key is not None and entry.parent is not None and not entry.is_merged:
             excluded.setdefault(entry.parent, set()).add(key)
@@ -948,7 +964,7 @@
 
 
 def _should_revoke(
-    state: Coordinator, shard: identity.ShardId, entry: Assigned, node: identity.NodeId
+    state: Coordinator, shard: identity.ShardId, entry: Assignment, node: identity.NodeId
 ) -> bool:
     if node not in state.leases:
         return False
@@ -957,15 +973,15 @@
     return node != (entry.target if entry.target is not None else entry.owner)
 
 
-def _merges_in_place(state: Coordinator, entry: Assigned, node: identity.NodeId) -> bool:
-    parent = state.assigned.get(entry.parent) if entry.parent is not None else None
+def _merges_in_place(state: Coordinator, entry: Assignment, node: identity.NodeId) -> bool:
+    parent = state.assignments.get(entry.parent) if entry.parent is not None else None
     return parent is not None and parent.owner == node and node in parent.holders
 
 
 def _may_grant(
     state: Coordinator,
     shard: identity.ShardId,
-    entry: Assigned,
+    entry: Assignment,
     excluded: frozenset[identity.KeyId],
     now: float,
 ) -> bool:
@@ -982,11 +998,11 @@
 
 
 def _is_apart(
-    state: Coordinator, shard: identity.ShardId, entry: Assigned, merged: list[Assigned]
+    state: Coordinator, shard: identity.ShardId, entry: Assignment, merged: list[Assignment]
 ) -> bool:
     """Return whether nobody else can serve the keys of the shard under another shard."""
     if entry.parent is not None:
-        parent = state.assigned.get(entry.parent, Assigned())
+        parent = state.assignments.get(entry.parent, Assignment())
         key = identity.split_shard(shard)[2]
         return all(
             node == entry.owner or (held.is_acked and key in held.excluded)
@@ -1000,7 +1016,7 @@
     )
 
 
-def note_grant(
+def record_grant_sent(
     state: Coordinator, node: identity.NodeId, holdings: list[message.Holding]
 ) -> Coordinator:
     """Count a node as holder of shards that are about to be granted to it.
@@ -1011,13 +1027,13 @@
     """
     changes = {}
     for holding in holdings:
-        entry = state.assigned[holding.shard]
+        entry = state.assignments[holding.shard]
         holder = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
         changes[holding.shard] = dataclasses.replace(entry, holders={**entry.holders, node: holder})
     return _put(state, changes)
 
 
-def note_granted(
+def record_grant_accepted(
     state: Coordinator, node: identity.NodeId, holdings: list[message.Holding]
 ) -> Coordinator:
     """Note that a node has accepted a grant.
@@ -1027,9 +1043,9 @@
     :param holdings: what was granted.
     """
     changes = {}
-    merged = {shard: entry for shard, entry in state.assigned.items() if entry.is_merged}
+    merged = {shard: entry for shard, entry in state.assignments.items() if entry.is_merged}
     for holding in holdings:
-        entry = state.assigned.get(holding.shard)
+        entry = state.assignments.get(holding.shard)
         holder = entry.holders.get(node) if entry is not None else None
         told = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
         if entry is None or holder is None or holder != told:
@@ -1042,7 +1058,7 @@
     return _put(state, changes)
 
 
-def note_released(
+def record_release(
     state: Coordinator,
     node: identity.NodeId,
     shard: identity.ShardId,
@@ -1060,7 +1076,7 @@
     :param has_memory: whether the token memory of the node is at hand, or the node has not held the
         shard.
     """
-    entry = state.assigned.get(shard)
+    entry = state.assignments.get(shard)
     if entry is None or node not in entry.holders:
         return state
     is_current = entry.holders[node].fence == entry.fence
@@ -1078,14 +1094,14 @@
     :param shards: the shards.
     """
     changes = {
-        shard: dataclasses.replace(state.assigned[shard], target=None, reason=None)
+        shard: dataclasses.replace(state.assignments[shard], target=None, reason=None)
         for shard in shards
-        if shard in state.assigned and state.assigned[shard].target is not None
+        if shard in state.assignments and state.assignments[shard].target is not None
     }
     return _put(state, changes)
 
 
-def _drop_holder(entry: Assigned, node: identity.NodeId) -> Assigned:
+def _drop_holder(entry: Assignment, node: identity.NodeId) -> Assignment:
     holders = {other: held for other, held in entry.holders.items() if other != node}
     return dataclasses.replace(entry, holders=holders)
 
@@ -1098,35 +1114,35 @@
     """
     changes = [
         change
-        for shard, entry in state.assigned.items()
+        for shard, entry in state.assignments.items()
         if entry.target is not None
         and (change := _build_move(state, shard, entry, now)) is not None
     ]
     moved = {change.shard for change in changes}
     for shard, parent in state.splits.items():
-        if shard not in state.assigned and _is_settled(state, parent) and parent not in moved:
-            held = state.assigned[parent]
+        if shard not in state.assignments and _is_settled(state, parent) and parent not in moved:
+            held = state.assignments[parent]
             changes.append(_make_split(shard, parent, held))
             moved.add(parent)
     for shard in sorted(state.merges):
-        entry = state.assigned.get(shard)
+        entry = state.assignments.get(shard)
         parent_of = entry.parent if entry is not None else None
         if entry is None or parent_of is None or moved & {shard, parent_of}:
             continue
         if not (_is_settled(state, shard) and _is_settled(state, parent_of)):
             continue
-        if state.assigned[parent_of].owner == entry.owner:
-            changes += _make_merge(shard, entry, parent_of, state.assigned[parent_of])
+        if state.assignments[parent_of].owner == entry.owner:
+            changes += _make_merge(shard, entry, parent_of, state.assignments[parent_of])
             moved |= {shard, parent_of}
     if not changes:
         return None
-    names = sorted({name_page(change.shard) for change in changes})
+    names = sorted({name_assignment_row(change.shard) for change in changes})
     expected = {name: state.versions.get(name, 0) for name in names}
     cell_row = name_cell_row(state.cell)
     expected[cell_row] = state.versions[cell_row]
-    pages: dict[str, list[tuple[identity.ShardId, Assigned]]] = {name: [] for name in names}
-    for shard, entry in apply_changes(state, changes).assigned.items():
-        name = name_page(shard)
+    pages: dict[str, list[tuple[identity.ShardId, Assignment]]] = {name: [] for name in names}
+    for shard, entry in apply_changes(state, changes).assignments.items():
+        name = name_assignment_row(shard)
         if name in pages and entry.fence > 0 and not entry.is_merged:
             pages[name].append((shard, entry))
     writes: dict[str, bytes | None] = {
@@ -1137,7 +1153,7 @@
 
 
 def _build_move(
-    state: Coordinator, shard: identity.ShardId, entry: Assigned, now: float
+    state: Coordinator, shard: identity.ShardId, entry: Assignment, now: float
 ) -> Change | None:
     target = entry.target
     if target is None or target not in state.leases or now < entry.free_at_s:
@@ -1154,14 +1170,14 @@
     )
 
 
-def _next_fence(*entries: Assigned) -> identity.Fence:
+def _next_fence(*entries: Assignment) -> identity.Fence:
     fences = [entry.fence for entry in entries]
     fences += [holder.fence for entry in entries for holder in entry.holders.values()]
     return identity.Fence(max(fences) + 1)
 
 
 def _is_settled(state: Coordinator, shard: identity.ShardId) -> bool:
-    entry = state.assigned.get(shard)
+    entry = state.assignments.get(shard)
     if entry is None or entry.target is not None or entry.is_merged:
         return False
     if set(entry.holders) != {entry.owner} or entry.owner not in state.leases:
@@ -1170,7 +1186,7 @@
     return holder.is_acked and holder.fence == entry.fence
 
 
-def _make_split(shard: identity.ShardId, parent: identity.ShardId, held: Assigned) -> Change:
+def _make_split(shard: identity.ShardId, parent: identity.ShardId, held: Assignment) -> Change:
     # The key's fencing token is above its partition's, because targets may compare them by key.
     return Change(
         shard=shard,
@@ -1184,7 +1200,7 @@
 
 
 def _make_merge(
-    shard: identity.ShardId, entry: Assigned, parent: identity.ShardId, held: Assigned
+    shard: identity.ShardId, entry: Assignment, parent: identity.ShardId, held: Assignment
 ) -> list[Change]:
     key = Change(
         shard=shard,
@@ -1205,7 +1221,7 @@
     return [key, partition]
 
 
-def _encode_page(name: str, listed: list[tuple[identity.ShardId, Assigned]]) -> bytes:
+def _encode_page(name: str, listed: list[tuple[identity.ShardId, Assignment]]) -> bytes:
     if name.startswith("hot/"):
         return encode_row(
             HotRow(
@@ -1237,13 +1253,13 @@
     :param state: the coordinator.
     :param changes: the changes.
     """
-    updated: dict[identity.ShardId, Assigned] = {}
+    updated: dict[identity.ShardId, Assignment] = {}
     for change in changes:
-        entry = state.assigned.get(change.shard, Assigned())
+        entry = state.assignments.get(change.shard, Assignment())
         if change.is_split:
             # The node serves the key under its partition until it has the grant that splits them.
             holder = Holder(fence=identity.Fence(change.fence - 1))
-            entry = Assigned(holders={change.owner: holder})
+            entry = Assignment(holders={change.owner: holder})
         updated[change.shard] = dataclasses.replace(
             entry,
             owner=change.owner,
@@ -1263,7 +1279,7 @@
     return _put(state, updated)
 
 
-def count_commit(state: Coordinator, transaction: Transaction) -> Coordinator:
+def record_commit(state: Coordinator, transaction: Transaction) -> Coordinator:
     """Note the versions of rows after a commit.
 
     A row that is written again is counted one version higher; if the table counts otherwise, the
@@ -1279,16 +1295,16 @@
 # Updates that keep digests and versions in step
 
 
-def _put(state: Coordinator, changes: dict[identity.ShardId, Assigned]) -> Coordinator:
+def _put(state: Coordinator, changes: dict[identity.ShardId, Assignment]) -> Coordinator:
     if not changes:
         return state
-    assigned = dict(state.assigned)
+    assigned = dict(state.assignments)
     digests = dict(state.digests)
     removed = dict(state.removed)
     version = state.routes_version + 1
     is_rerouted = False
     for shard, entry in changes.items():
-        before = assigned.get(shard, Assigned())
+        before = assigned.get(shard, Assignment())
         for node, holder in [*before.holders.items(), *entry.holders.items()]:
             digests[node] = digests.get(node, 0) ^ _digest(shard, holder)
         if (before.owner, before.fence, before.is_merged) != (
@@ -1306,7 +1322,7 @@
             del assigned[shard]
     return dataclasses.replace(
         state,
-        assigned=assigned,
+        assignments=assigned,
         digests=digests,
         removed=removed,
         routes_version=version if is_rerouted else state.routes_version,
@@ -1318,7 +1334,7 @@
     return lease.digest_holdings([holding])
 
 
-def _put_lease(state: Coordinator, known: Lease) -> Coordinator:
+def _put_lease(state: Coordinator, known: NodeLease) -> Coordinator:
     node = known.member.node
     before = state.leases.get(node)
     state = dataclasses.replace(state, leases={**state.leases, node: known})
--- a/src/ebonyvalve/process/commit.py
+++ b/src/ebonyvalve/process/commit.py
@@ -7,11 +7,11 @@
 
 from ebonyvalve.process import platform
 
-ATTEMPTS = 4
-PAUSE_S = 0.05
+MAX_READ_BACKS = 4
+READ_BACK_PAUSE_S = 0.05
 
 
-class Finding(enum.Enum):
+class WriteOutcome(enum.Enum):
     """What the rows show about a write whose reply was lost."""
 
     COMMITTED = "committed"
@@ -22,9 +22,9 @@
     AMBIGUOUS = "ambiguous"
 
 
-def judge(
+def classify_write(
     expected: platform.Expected, writes: platform.Writes, rows: dict[str, platform.Row]
-) -> Finding:
+) -> WriteOutcome:
     """Decide from the rows whether a write was applied.
 
     Every value must be unique to its writer and attempt, for example by containing the writer's
@@ -37,7 +37,7 @@
     """
     for key, value in writes.items():
         if value is not None and rows[key].version > 0 and rows[key].value == value:
-            return Finding.COMMITTED
+            return WriteOutcome.COMMITTED
     # A row with a version above 0 never returns to it, so that a write that is blocked by one can't
     # be applied later. A missing row that was created may be deleted again, and then let through a
     # write that is still on its way.
@@ -45,10 +45,10 @@
         version > 0 and rows[key].version != version for key, version in expected.items()
     )
     if is_blocked and any(_shows_absence(expected.get(key), rows[key]) for key in writes):
-        return Finding.CONFLICT
+        return WriteOutcome.CONFLICT
     if expected and all(rows[key].version == version for key, version in expected.items()):
-        return Finding.UNCHANGED
-    return Finding.AMBIGUOUS
+        return WriteOutcome.UNCHANGED
+    return WriteOutcome.AMBIGUOUS
 
 
 def _shows_absence(version: int | None, row: platform.Row) -> bool:
@@ -80,32 +80,32 @@
         return state
     # Without a written row under a condition, sending again could undo the write of another.
     is_repeatable = any(key in expected for key in writes)
-    for attempt in range(ATTEMPTS):
+    for attempt in range(MAX_READ_BACKS):
         finding = await _read_back(table, expected, writes)
-        if finding is Finding.COMMITTED:
+        if finding is WriteOutcome.COMMITTED:
             return platform.CommitState.COMMITTED
-        if finding is Finding.CONFLICT:
+        if finding is WriteOutcome.CONFLICT:
             return platform.CommitState.CONFLICT
-        if finding is Finding.AMBIGUOUS:
+        if finding is WriteOutcome.AMBIGUOUS:
             return platform.CommitState.UNKNOWN
-        if finding is Finding.UNCHANGED and is_repeatable:
+        if finding is WriteOutcome.UNCHANGED and is_repeatable:
             state = await table.commit(expected, writes)
             if state is platform.CommitState.COMMITTED:
                 return state
             if state is platform.CommitState.CONFLICT:
                 # Either the first send was applied in between, or another writer's commit.
                 continue
-        await trio.sleep(PAUSE_S * 2**attempt)
+        await trio.sleep(READ_BACK_PAUSE_S * 2**attempt)
     return platform.CommitState.UNKNOWN
 
 
 async def _read_back(
     table: platform.Table, expected: platform.Expected, writes: platform.Writes
-) -> Finding | None:
+) -> WriteOutcome | None:
     rows: dict[str, platform.Row] = {}
     for key in [*expected, *writes]:
         answer = await table.read(key)
         if not isinstance(answer, result.Success):
             return None
         rows[key] = answer.unwrap()
-    return judge(expected, writes, rows)
+    return classify_write(expected, writes, rows)
--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -27,7 +27,6 @@
     identity,
     lease,
     limit,
-    memory,
     message,
     metrics,
     monitor,
@@ -46,6 +45,7 @@
     target,
     telemetry,
     timer,
+    token_memory,
 )
 from ebonyvalve.request import exchange, front, handler, outcome, routing
 from ebonyvalve.version import diagnostics, objects, placement, route
@@ -99,7 +99,7 @@
     owned: ownership.State | None = None
     snapshot: route.Snapshot | None = None
     shards: frozenset[identity.ShardId] = frozenset()
-    place: assignment.Place | None = None
+    place: assignment.PlaceShards | None = None
     placing: placement.State = dataclasses.field(default_factory=placement.State)
 
 
@@ -211,13 +211,13 @@
     def find_life(service: identity.ServiceId) -> float:
         return _find_service(node, service).token_life_s
 
-    def describe_service(service: identity.ServiceId) -> ownership.Traits:
+    def describe_service(service: identity.ServiceId) -> ownership.ServiceTraits:
         found = _find_service(node, service)
-        return ownership.Traits(
+        return ownership.ServiceTraits(
             checks_fence=found.checks_fence, deadline_s=found.deadline_ms / 1000
         )
 
-    def place(view: assignment.View) -> assignment.Plan:
+    def place(view: assignment.PlacementView) -> assignment.Plan:
         if node.place is None:
             return assignment.Plan(split=[], merge=[], moves=[])
         return node.place(view)
@@ -243,13 +243,13 @@
         install=lambda moved: handover.install(here, moved, find_life),
         inherit=lambda source, heir: handover.inherit(here, source, heir, find_life),
         forget=functools.partial(handover.forget, here),
-        abandon=functools.partial(handover.abandon, here),
+        cancel_requests=functools.partial(handover.cancel_requests, here),
         notify=functools.partial(site.notify, here),
         adopt_config=functools.partial(adopt_config, node),
         describe_member=functools.partial(describe_member, node),
         collect_loads=lambda: accounting.list_loads(here.account, here.now()),
         collect_hot_keys=lambda: accounting.list_hot_keys(here.account, here.now()),
-        collect_crashed=lambda: quarantine.export_new(here.quarantined, here.now()),
+        collect_new_quarantine=lambda: quarantine.export_unreported(here.quarantined, here.now()),
         install_quarantine=install_quarantine,
         list_shards=lambda: node.shards,
         describe_service=describe_service,
@@ -392,7 +392,7 @@
         now_s = await timer.tick(node.timer, subscription)
         telemetry.refresh(node.metrics, node.here, owned, elapsed_s=now_s - last_s)
         for tokens in node.here.memories.values():
-            memory.forget(tokens, now_s)
+            token_memory.forget(tokens, now_s)
         last_s = now_s
 
 
--- a/src/ebonyvalve/process/handover.py
+++ b/src/ebonyvalve/process/handover.py
@@ -2,9 +2,9 @@
 
 import collections.abc
 
-from ebonyvalve.process import accounting, identity, memory, message, site, timer
+from ebonyvalve.process import accounting, identity, message, site, timer, token_memory
 
-FindLife = collections.abc.Callable[[identity.ServiceId], float]
+FindTokenLife = collections.abc.Callable[[identity.ServiceId], float]
 
 
 async def release(
@@ -23,12 +23,14 @@
     for shard in shards:
         found = here.memories.get(shard)
         if found is not None and not found.is_closed:
-            moved.append(memory.export_memory(found, here.now()))
+            moved.append(token_memory.export_memory(found, here.now()))
     forget(here, shards)
     return moved
 
 
-def install(here: site.Site, moved: list[message.TokenMemory], find_life: FindLife) -> None:
+def install(
+    here: site.Site, moved: list[message.TokenMemory], find_token_life: FindTokenLife
+) -> None:
     """Put the token memories of granted shards in place.
 
     :param here: the node's state; it holds the shards already.
@@ -39,13 +41,16 @@
         held = here.read_node().holdings.get(entry.shard)
         if held is None:
             continue
-        life_s = find_life(identity.split_shard(entry.shard)[0])
+        life_s = find_token_life(identity.split_shard(entry.shard)[0])
         target = site.find_memory(here, entry.shard, held.fence, life_s=life_s)
-        memory.import_memory(target, entry, here.now())
+        token_memory.import_memory(target, entry, here.now())
 
 
 def inherit(
-    here: site.Site, source: message.Holding, heir: message.Holding, find_life: FindLife
+    here: site.Site,
+    source: message.Holding,
+    recipient: message.Holding,
+    find_token_life: FindTokenLife,
 ) -> None:
     """Give the memory of one holding to another one at this node.
 
@@ -57,19 +62,19 @@
     :param heir: the holding that inherits it.
     :param find_life: returns the life in seconds of a service's tokens.
     """
-    service, _, key = identity.split_shard(heir.shard)
-    life_s = find_life(service)
+    service, _, key = identity.split_shard(recipient.shard)
+    life_s = find_token_life(service)
     known = site.find_memory(here, source.shard, source.fence, life_s=life_s)
-    if key is not None and source.shard != heir.shard:
+    if key is not None and source.shard != recipient.shard:
         accounting.forget_key(here.account, source.shard, key)
-        here.memories[heir.shard] = memory.split(
-            known, key=key, shard=heir.shard, fence=heir.fence, now=here.now()
+        here.memories[recipient.shard] = token_memory.split(
+            known, key=key, shard=recipient.shard, fence=recipient.fence, now=here.now()
         )
         return
-    moved = memory.export_memory(known, here.now())
-    memory.drop(known)
-    target = site.find_memory(here, heir.shard, heir.fence, life_s=life_s)
-    memory.import_memory(target, moved, here.now())
+    moved = token_memory.export_memory(known, here.now())
+    token_memory.drop(known)
+    target = site.find_memory(here, recipient.shard, recipient.fence, life_s=life_s)
+    token_memory.import_memory(target, moved, here.now())
 
 
 def forget(here: site.Site, shards: list[identity.ShardId]) -> None:
@@ -81,11 +86,11 @@
     for shard in shards:
         found = here.memories.pop(shard, None)
         if found is not None:
-            memory.drop(found)
+            token_memory.drop(found)
         accounting.forget(here.account, shard)
 
 
-def abandon(here: site.Site, shards: list[identity.ShardId]) -> None:
+def cancel_requests(here: site.Site, shards: list[identity.ShardId]) -> None:
     """Cancel the requests of shards that the node may not serve at present.
 
     :param here: the node's state.
--- a/src/ebonyvalve/process/keyspace/records.py
+++ b/src/ebonyvalve/process/keyspace/records.py
@@ -167,7 +167,7 @@
         take_row(steward, row)
     steward.mesh_version = max(steward.mesh_version, read.version)
     steward.needs_members = False
-    budget.divide(node.budget, node.place.retries.slack, len(node.members))
+    budget.divide_burst(node.budget, node.place.retries.slack, len(node.members))
     take_clock(steward, read.clock)
     node.is_mesh_known = True
     node_module.pulse(node)
--- a/src/ebonyvalve/process/lease.py
+++ b/src/ebonyvalve/process/lease.py
@@ -14,7 +14,7 @@
 CONSENT_S = 0.300
 CONSENT_PERIOD_S = 0.100
 # Clocks of two VMs may run apart by this fraction. The granting side adds it to what it counts.
-DRIFT = 0.001
+MAX_CLOCK_DRIFT = 0.001
 
 NOBODY = identity.NodeId("")
 
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Held:
+class HeldShard:
     """A shard that the node holds."""
 
     fence: identity.Fence
@@ -62,7 +62,7 @@
     coordinator: identity.NodeId = NOBODY
     coordinator_address: identity.Address = identity.Address("")
     lease_end_s: float = -math.inf
-    holdings: dict[identity.ShardId, Held] = dataclasses.field(default_factory=dict)
+    holdings: dict[identity.ShardId, HeldShard] = dataclasses.field(default_factory=dict)
     # Digest of the holdings, compared with the coordinator's view of them.
     digest: int = 0
     routes: dict[identity.ShardId, message.Route] = dataclasses.field(default_factory=dict)
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Beat:
+class PendingHeartbeat:
     """A heartbeat under way."""
 
     term: identity.Term
@@ -159,7 +159,7 @@
     )
 
 
-def is_suspended(held: Held) -> bool:
+def is_suspended(held: HeldShard) -> bool:
     """Return whether the coordinator has to confirm a holding before it is served again.
 
     :param held: the holding.
@@ -167,18 +167,18 @@
     return held.state is HoldingState.SUSPENDED or held.was_suspended
 
 
-def begin_heartbeat(state: Node, now: float) -> tuple[Node, Beat]:
+def begin_heartbeat(state: Node, now: float) -> tuple[Node, PendingHeartbeat]:
     """Return the state and the heartbeat to send.
 
     :param state: the node.
     :param now: the time in seconds; the lease will count from it.
     """
-    beat = Beat(term=state.term, coordinator=state.coordinator, sent_at_s=now)
+    beat = PendingHeartbeat(term=state.term, coordinator=state.coordinator, sent_at_s=now)
     return lapse(state, now), beat
 
 
 def apply_renewal(
-    state: Node, beat: Beat, renewal: message.Renewal, now: float
+    state: Node, beat: PendingHeartbeat, renewal: message.Renewal, now: float
 ) -> tuple[Node, RenewalState]:
     """Extend the lease from the time at which the heartbeat was sent.
 
@@ -318,16 +318,16 @@
     taken = HoldingState.SERVING if is_live(state, now) else HoldingState.SUSPENDED
     changed = dict(state.holdings)
     for holding in holdings:
-        for key in list_merged(state, holding):
+        for key in list_merged_keys(state, holding):
             changed.pop(identity.name_key(identity.split_shard(holding.shard)[0], key), None)
-        changed[holding.shard] = Held(
+        changed[holding.shard] = HeldShard(
             fence=holding.fence, excluded=frozenset(holding.excluded), state=taken
         )
     orders = {**state.shard_orders, **{holding.shard: request.order for holding in holdings}}
     return _put_holdings(dataclasses.replace(state, shard_orders=orders), changed), True
 
 
-def list_merged(state: Node, holding: message.Holding) -> list[identity.KeyId]:
+def list_merged_keys(state: Node, holding: message.Holding) -> list[identity.KeyId]:
     """Return the keys that a grant of a partition takes back into the partition.
 
     :param state: the node before the grant.
@@ -356,15 +356,15 @@
     return dataclasses.replace(state, routes=known)
 
 
-def count_lease(now: float) -> float:
+def compute_lease_end(now: float) -> float:
     """Return when a lease granted now has expired for certain, as the coordinator counts.
 
     :param now: the time in seconds at which the coordinator answers.
     """
-    return now + LEASE_S * (1.0 + DRIFT)
+    return now + LEASE_S * (1.0 + MAX_CLOCK_DRIFT)
 
 
-def count_consent(sent_at_s: float) -> float:
+def compute_consent_end(sent_at_s: float) -> float:
     """Return until when the coordinator may rely on a consent.
 
     :param sent_at_s: when it sent the request, in seconds.
@@ -372,12 +372,12 @@
     return sent_at_s + CONSENT_S
 
 
-def count_promise(received_at_s: float) -> float:
+def compute_promise_end(received_at_s: float) -> float:
     """Return until when a standby must not claim the cell.
 
     :param received_at_s: when it received the request, in seconds.
     """
-    return received_at_s + CONSENT_S * (1.0 + DRIFT)
+    return received_at_s + CONSENT_S * (1.0 + MAX_CLOCK_DRIFT)
 
 
 def may_renew(
@@ -400,13 +400,13 @@
     return accepts(state, request, holding.shard) and not is_older
 
 
-def _suspend(held: Held) -> Held:
+def _suspend(held: HeldShard) -> HeldShard:
     if held.state is HoldingState.RELEASING:
         return dataclasses.replace(held, was_suspended=True)
     return dataclasses.replace(held, state=HoldingState.SUSPENDED)
 
 
-def _restore(held: Held) -> Held:
+def _restore(held: HeldShard) -> HeldShard:
     if held.state is not HoldingState.RELEASING:
         return held
     restored = HoldingState.SUSPENDED if held.was_suspended else HoldingState.SERVING
@@ -427,7 +427,7 @@
     return dataclasses.replace(state, holdings=confirmed)
 
 
-def _put_holdings(state: Node, holdings: dict[identity.ShardId, Held]) -> Node:
+def _put_holdings(state: Node, holdings: dict[identity.ShardId, HeldShard]) -> Node:
     state = dataclasses.replace(state, holdings=holdings)
     return dataclasses.replace(state, digest=digest_holdings(list_holdings(state)))
 
--- a/src/ebonyvalve/process/limit.py
+++ b/src/ebonyvalve/process/limit.py
@@ -10,13 +10,13 @@
 Ticket = typing.NewType("Ticket", int)
 
 # The limit may exceed the announced slots, because slots are an estimate of the operator.
-CEILING = 1.5
-SHED_FALL = 0.7
-GROWTH_FALL = 0.85
-WARMING_FALL = 0.5
+MAX_LIMIT_PER_SLOT = 1.5
+SHED_DECREASE = 0.7
+LATENCY_DECREASE = 0.85
+WARMING_DECREASE = 0.5
 # A target slows down somewhat with load; twice its usual latency means that requests queue in it.
-GROWTH = 2.0
-SLOW = 3.0
+OVERLOAD_FACTOR = 2.0
+SLOW_FACTOR = 3.0
 # With exponentially distributed service times 1 reply in 20 is slow, so that 8 slow replies in a
 # row occur by chance once in 10^10.
 COLD_RUN = 8
@@ -33,7 +33,7 @@
 SLOW_WEIGHT = 0.001
 # A planned move adds at most 100 ms; a request that must wait longer is better refused.
 MAX_WAIT_S = 0.1
-IDLE_FACTOR = 10.0
+MAX_GAP_FACTOR = 10.0
 # A handover of 100 ms at 500 requests/s makes 50 requests wait for a target with 10 slots.
 QUEUE_PER_SLOT = 10
 MIN_RETRY_AFTER_S = 0.05
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Answer:
+class Decision:
     """The decision on one request. ``retry_after_s`` is a hint for a refused caller."""
 
     admission: Admission
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Wake:
+class Dequeued:
     """Waiting requests that run now, and those that are refused because their deadline passed."""
 
     run: list[Ticket]
@@ -135,7 +135,7 @@
     return Target(slots=slots, warm_up_s=warm_up_s)
 
 
-def admit(target: Target, *, now: float, deadline: float) -> Answer:
+def admit(target: Target, *, now: float, deadline: float) -> Decision:
     """Decide whether a request runs, waits or is refused, before its body is read.
 
     A request that runs is ended with :func:`release`, one that waits with :func:`withdraw` or by
@@ -146,32 +146,36 @@
     :param deadline: seconds on the node's clock.
     """
     if deadline <= now:
-        return Answer(admission=Admission.REFUSE, cause=Cause.DEADLINE)
+        return Decision(admission=Admission.REFUSE, cause=Cause.DEADLINE)
     _detect_cold(target, now)
     if not target.is_paused and not target.waiting and len(target.running) < read_limit(target):
         ticket = _draw_ticket(target)
         target.running[ticket] = now
-        return Answer(admission=Admission.RUN, ticket=ticket)
-    hint_s = hint_retry(target)
+        return Decision(admission=Admission.RUN, ticket=ticket)
+    hint_s = compute_retry_after(target)
     if len(target.waiting) >= target.slots * QUEUE_PER_SLOT:
-        return Answer(admission=Admission.REFUSE, cause=Cause.QUEUE_FULL, retry_after_s=hint_s)
+        return Decision(admission=Admission.REFUSE, cause=Cause.QUEUE_FULL, retry_after_s=hint_s)
     if not target.is_paused:
         wait_s = predict_wait(target)
         if wait_s > MAX_WAIT_S:
-            return Answer(admission=Admission.REFUSE, cause=Cause.QUEUE_FULL, retry_after_s=hint_s)
+            return Decision(
+                admission=Admission.REFUSE, cause=Cause.QUEUE_FULL, retry_after_s=hint_s
+            )
         if now + wait_s + (target.recent_s or 0.0) > deadline:
-            return Answer(admission=Admission.REFUSE, cause=Cause.DEADLINE, retry_after_s=hint_s)
+            return Decision(admission=Admission.REFUSE, cause=Cause.DEADLINE, retry_after_s=hint_s)
     ticket = _draw_ticket(target)
     target.waiting[ticket] = deadline
     cause = Cause.LIMIT if target.phase is Phase.STEADY else Cause.WARMING
-    return Answer(
+    return Decision(
         admission=Admission.WAIT,
         cause=Cause.PAUSED if target.is_paused else cause,
         ticket=ticket,
     )
 
 
-def release(target: Target, ticket: Ticket, *, now: float, latency_s: float, reply: Reply) -> Wake:
+def release(
+    target: Target, ticket: Ticket, *, now: float, latency_s: float, reply: Reply
+) -> Dequeued:
     """Learn from the end of a request and return the waiting requests that run now.
 
     :param target: the target's state.
@@ -187,13 +191,13 @@
     if reply in (Reply.OK, Reply.TIMED_OUT):
         _learn_latency(target, now, latency_s)
     if reply is Reply.SHED:
-        _fall(target, now, WARMING_FALL if target.phase is Phase.WARMING else SHED_FALL)
+        _fall(target, now, WARMING_DECREASE if target.phase is Phase.WARMING else SHED_DECREASE)
         target.shed_run += len(target.running) < target.slots
         if target.phase is Phase.STEADY and target.shed_run >= SHED_RUN:
-            turn_cold(target)
+            enter_slow_start(target)
     if reply is Reply.OK and not _detect_cold(target, now):
         _grow(target, now, started_at)
-    return wake(target, now)
+    return dequeue(target, now)
 
 
 def withdraw(target: Target, ticket: Ticket) -> None:
@@ -205,7 +209,7 @@
     target.waiting.pop(ticket, None)
 
 
-def wake(target: Target, now: float) -> Wake:
+def dequeue(target: Target, now: float) -> Dequeued:
     """Return the waiting requests that run now, and those whose deadline has passed.
 
     :param target: the target's state.
@@ -220,7 +224,7 @@
         del target.waiting[ticket]
         target.running[ticket] = now
         run.append(ticket)
-    return Wake(run=run, expired=expired)
+    return Dequeued(run=run, expired=expired)
 
 
 def pause(target: Target) -> None:
@@ -231,17 +235,17 @@
     target.is_paused = True
 
 
-def resume(target: Target, now: float) -> Wake:
+def resume(target: Target, now: float) -> Dequeued:
     """End a pause and return the waiting requests that run now.
 
     :param target: the target's state.
     :param now: seconds on the node's clock.
     """
     target.is_paused = False
-    return wake(target, now)
+    return dequeue(target, now)
 
 
-def turn_cold(target: Target) -> None:
+def enter_slow_start(target: Target) -> None:
     """Put the target into slow start: it is new, has returned, or its incarnation has changed.
 
     :param target: the target's state.
@@ -257,7 +261,7 @@
     target.shed_run = 0
 
 
-def note_report(target: Target, *, is_cold: bool) -> None:
+def record_report(target: Target, *, is_cold: bool) -> None:
     """Note what the target says of its own coldness.
 
     Only a change counts. Reports lag, and a repeated one would restart the slow start for ever.
@@ -266,7 +270,7 @@
     :param is_cold: the target's report.
     """
     if is_cold and not target.is_reported_cold and target.phase is Phase.STEADY:
-        turn_cold(target)
+        enter_slow_start(target)
     target.is_reported_cold = is_cold
 
 
@@ -290,7 +294,7 @@
     return ahead * target.recent_s / read_limit(target)
 
 
-def hint_retry(target: Target) -> float:
+def compute_retry_after(target: Target) -> float:
     """Return after how many seconds a refused caller may try again.
 
     :param target: the target's state.
@@ -305,7 +309,7 @@
 
 def _cap(target: Target) -> float:
     if target.phase is Phase.STEADY:
-        return target.slots * CEILING
+        return target.slots * MAX_LIMIT_PER_SLOT
     share = min(1.0, target.worked_s / target.warm_up_s) if target.warm_up_s > 0 else 1.0
     return 1.0 + (target.slots - 1) * share
 
@@ -328,7 +332,7 @@
         target.normal_s = latency_s
     if target.normal_gap_s is None:
         target.normal_gap_s = min(gap_s, latency_s)
-    if latency_s > SLOW * target.normal_s:
+    if latency_s > SLOW_FACTOR * target.normal_s:
         if target.slow_run == 0:
             target.slow_since = now
         target.slow_run += 1
@@ -338,7 +342,7 @@
     target.shed_run = 0
     target.normal_s += NORMAL_WEIGHT * (latency_s - target.normal_s)
     # An idle hour must not make the usual load look like an increase for the next 100 replies.
-    gap_s = min(gap_s, IDLE_FACTOR * target.normal_gap_s)
+    gap_s = min(gap_s, MAX_GAP_FACTOR * target.normal_gap_s)
     target.normal_gap_s += NORMAL_WEIGHT * (gap_s - target.normal_gap_s)
 
 
@@ -352,7 +356,7 @@
         return False
     overdue = 0
     for started_at in target.running.values():
-        if now - started_at <= SLOW * target.normal_s:
+        if now - started_at <= SLOW_FACTOR * target.normal_s:
             break
         overdue += 1
     if target.slow_run + overdue < COLD_RUN:
@@ -361,7 +365,7 @@
         gap_s = (now - target.slow_since) / (target.slow_run - 1)
         if gap_s < 0.8 * target.normal_gap_s:
             return False
-    turn_cold(target)
+    enter_slow_start(target)
     return True
 
 
@@ -384,8 +388,8 @@
         target.last_ok_at = now
         if target.warming_s is not None and target.warming_replies >= 1 / WARMING_WEIGHT:
             target.best_s = min(target.best_s or target.warming_s, target.warming_s)
-            if target.warming_s > GROWTH * target.best_s:
-                _fall(target, now, GROWTH_FALL)
+            if target.warming_s > OVERLOAD_FACTOR * target.best_s:
+                _fall(target, now, LATENCY_DECREASE)
                 return
         target.limit = min(target.limit + 1.0 / target.limit, _cap(target))
         if target.worked_s >= target.warm_up_s and target.limit >= target.slots:
@@ -393,8 +397,8 @@
             target.normal_s = target.warming_s
             target.normal_gap_s = None
         return
-    if target.normal_s is not None and recent_s > GROWTH * target.normal_s:
-        _fall(target, now, GROWTH_FALL)
+    if target.normal_s is not None and recent_s > OVERLOAD_FACTOR * target.normal_s:
+        _fall(target, now, LATENCY_DECREASE)
         return
     # An unused limit must not grow: nothing shows that the target can bear it.
     if len(target.running) + 1 >= read_limit(target):
--- a/src/ebonyvalve/process/message.py
+++ b/src/ebonyvalve/process/message.py
@@ -52,7 +52,7 @@
     ``clock_s`` is the clock of the node that issued the epoch's tokens, read at the export; clocks
     of different nodes share no origin. Tokens issued at or before ``horizon_s`` on that clock may
     have been forgotten; none was issued after ``closed_s``. A non-empty ``key`` restricts the
-    coverage to one key. ``departed`` lists keys that were split off, with the time of the split:
+    coverage to one key. ``split_keys`` lists keys that were split off, with the time of the split:
     their tokens issued until then are not covered.
     """
 
@@ -60,7 +60,7 @@
     horizon_s: float
     closed_s: float
     key: str = ""
-    departed: list[tuple[str, float]] = []
+    split_keys: list[tuple[str, float]] = []
 
 
 class TokenMemory(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
--- a/src/ebonyvalve/process/monitor.py
+++ b/src/ebonyvalve/process/monitor.py
@@ -109,10 +109,10 @@
         if previous is not None:
             await monitor.drop_idle(previous)
         here.admission.slots = here.target.slots
-        limit.turn_cold(here.admission)
+        limit.enter_slow_start(here.admission)
     elif not was_up:
-        limit.turn_cold(here.admission)
-    limit.note_report(here.admission, is_cold=entry.is_cold)
+        limit.enter_slow_start(here.admission)
+    limit.record_report(here.admission, is_cold=entry.is_cold)
     _note_change(here)
 
 
@@ -133,7 +133,7 @@
     now_s = here.now()
     if target.is_up(here.target):
         if here.admission.is_paused:
-            limit.turn_cold(here.admission)
+            limit.enter_slow_start(here.admission)
         site.wake_admitted(here, limit.resume(here.admission, now_s))
     else:
         limit.pause(here.admission)
--- a/src/ebonyvalve/process/node.py
+++ b/src/ebonyvalve/process/node.py
@@ -66,7 +66,7 @@
     draw: collections.abc.Callable[[], float]
     gate: gate.Gate
     grantor: grant.Grantor
-    budget: budget.Allowance
+    budget: budget.ServiceBudgets
     heat: heat.Heat
     behind: pace.Pace = dataclasses.field(default_factory=pace.Pace)
     counted: tally.Tally = dataclasses.field(default_factory=tally.Tally)
--- a/src/ebonyvalve/process/ownership.py
+++ b/src/ebonyvalve/process/ownership.py
@@ -25,38 +25,38 @@
 log = logging.getLogger(__name__)
 
 HEAD_ROW = "config/head"
-HEAD_PERIOD_S = 0.5
-PLAN_PERIOD_S = 1.0
-ASK_S = 0.1
+HEAD_POLL_INTERVAL_S = 0.5
+PLAN_INTERVAL_S = 1.0
+ASK_TIMEOUT_S = 0.1
 # A release waits for the requests in flight, whose deadlines are below this.
-RELEASE_S = 2.0
-FETCH_S = 2.0
-STORE_S = 5.0
+RELEASE_TIMEOUT_S = 2.0
+FETCH_TIMEOUT_S = 2.0
+STORE_TIMEOUT_S = 5.0
 # While the store takes longer than this, no planned move is begun, because the shard would have no
 # owner until the commit is answered.
 SLOW_STORE_S = 0.1
 # A commit that takes longer than this is no longer waited for by the shards of planned moves.
-UNDO_S = 0.25
+LATE_COMMIT_S = 0.25
 # Without a coordinator for so long, a node that is no standby looks whether it may claim the cell.
-ORPHAN_S = 1.5
+CLAIM_DELAY_S = 1.5
 # After stepping down a coordinator leaves the cell to its standbys for so long.
-STEP_DOWN_S = 1.0
-RETRY_S = 0.1
+RECLAIM_DELAY_S = 1.0
+RETRY_INTERVAL_S = 0.1
 # A cell that has never assigned a shard waits this long for its nodes, or the first of them would
 # get every shard.
-GATHER_S = 1.0
+DISCOVERY_S = 1.0
 # Longest pause between reads of the cell row while the store does not answer. A store that has just
 # come back bears 2000 reads/s; 780 nodes that read 10 times a second would make 7800.
-MAX_SEARCH_S = 1.0
-FIRST_RETRY_S = 0.005
+MAX_SEARCH_INTERVAL_S = 1.0
+FIRST_RETRY_INTERVAL_S = 0.005
 # Loads of some forty shards are larger than the rest of a heartbeat.
-LOADS_PERIOD_S = 1.0
-ALONE = "no other member"
-LEAVE_S = 5.0
+LOAD_REPORT_INTERVAL_S = 1.0
+NO_OTHER_MEMBER = "no other member"
+LEAVE_TIMEOUT_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Traits:
+class ServiceTraits:
     """What ownership needs to know of a service."""
 
     checks_fence: bool
@@ -78,24 +78,24 @@
     table: platform.Table
     objects: platform.ObjectStore
     timer: timer.Timer
-    place: assignment.Place
+    place: assignment.PlaceShards
     release: collections.abc.Callable[
         [list[identity.ShardId]], collections.abc.Awaitable[list[message.TokenMemory]]
     ]
     install: collections.abc.Callable[[list[message.TokenMemory]], None]
     inherit: collections.abc.Callable[[message.Holding, message.Holding], None]
     forget: collections.abc.Callable[[list[identity.ShardId]], None]
-    abandon: collections.abc.Callable[[list[identity.ShardId]], None]
+    cancel_requests: collections.abc.Callable[[list[identity.ShardId]], None]
     adopt_config: collections.abc.Callable[[identity.ConfigVersion, bytes], None]
     describe_member: collections.abc.Callable[[], message.Member]
     collect_loads: collections.abc.Callable[[], list[message.ShardLoad]]
     collect_hot_keys: collections.abc.Callable[
         [], list[tuple[identity.ServiceId, identity.KeyId, float]]
     ]
-    collect_crashed: collections.abc.Callable[[], list[message.Quarantined]]
+    collect_new_quarantine: collections.abc.Callable[[], list[message.Quarantined]]
     install_quarantine: collections.abc.Callable[[list[message.Quarantined]], None]
     list_shards: collections.abc.Callable[[], frozenset[identity.ShardId]]
-    describe_service: collections.abc.Callable[[identity.ServiceId], Traits]
+    describe_service: collections.abc.Callable[[identity.ServiceId], ServiceTraits]
     find_parent: collections.abc.Callable[[identity.ShardId], identity.ShardId]
     notify: collections.abc.Callable[[], None] = lambda: None
     observe_move: collections.abc.Callable[[identity.ServiceId, assignment.MoveReason], None] = (
@@ -112,7 +112,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Releasing:
+class PendingRelease:
     """A release that waits for the requests in flight."""
 
     scope: trio.CancelScope
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Duty:
+class Leadership:
     """State of the coordinator's role, from claim to stepping down."""
 
     rules: cell.Coordinator
@@ -134,13 +134,13 @@
     collecting: set[identity.NodeId] = dataclasses.field(default_factory=set)
     revoking: set[tuple[identity.NodeId, identity.ShardId]] = dataclasses.field(default_factory=set)
     granting: set[identity.NodeId] = dataclasses.field(default_factory=set)
-    wanted: list[cell.Seat] = dataclasses.field(default_factory=list)
+    wanted: list[cell.NodeInstance] = dataclasses.field(default_factory=list)
     quarantine: dict[identity.Fingerprint, float] = dataclasses.field(default_factory=dict)
     # What operators see: by node the configuration it has, by shard when and why it changed owner.
-    versions: dict[identity.NodeId, identity.ConfigVersion] = dataclasses.field(
+    config_versions: dict[identity.NodeId, identity.ConfigVersion] = dataclasses.field(
         default_factory=dict
     )
-    causes: dict[identity.ShardId, tuple[float, str]] = dataclasses.field(default_factory=dict)
+    last_moves: dict[identity.ShardId, tuple[float, str]] = dataclasses.field(default_factory=dict)
     store_lock: trio.Lock = dataclasses.field(default_factory=trio.Lock)
     store_checked_s: float = -math.inf
     planned_s: float = -math.inf
@@ -162,13 +162,13 @@
     # When the last renewal was applied, or the node started.
     renewed_at_s: float
     standby: cell.Standby = dataclasses.field(default_factory=cell.Standby)
-    duty: Duty | None = None
+    leadership: Leadership | None = None
     nursery: trio.Nursery | None = None
     is_leaving: bool = False
     body: bytes = b""
     stepped_down_s: float = -math.inf
     loads_sent_s: float = -math.inf
-    releasing: dict[identity.ShardId, Releasing] = dataclasses.field(default_factory=dict)
+    releasing: dict[identity.ShardId, PendingRelease] = dataclasses.field(default_factory=dict)
     # Answers to Revoke, kept in case the reply was lost: a shard that was held must not look as
     # if it had never been, or its token memory would be replaced by an empty one.
     released: dict[identity.ShardId, tuple[message.Holding, list[message.TokenMemory]]] = (
@@ -217,19 +217,19 @@
     state.is_leaving = True
     state.beat.set()
     ports = state.ports
-    deadline = timer.now(ports.timer) + LEAVE_S
+    deadline = timer.now(ports.timer) + LEAVE_TIMEOUT_S
     request = message.Leave(node=state.node.node, incarnation=state.node.incarnation)
     while timer.now(ports.timer) < deadline:
         address = state.node.coordinator_address
         reply = await _ask(state, address, request, deadline - timer.now(ports.timer))
         if isinstance(reply.value_or(None), message.Done):
-            if state.duty is not None:
-                await _hand_over(state, state.duty)
+            if state.leadership is not None:
+                await _hand_over(state, state.leadership)
             return True
         refusal = reply.value_or(None)
-        if isinstance(refusal, message.Refused) and refusal.reason == ALONE:
+        if isinstance(refusal, message.Refused) and refusal.reason == NO_OTHER_MEMBER:
             return False
-        await timer.wait_until(ports.timer, timer.now(ports.timer) + RETRY_S)
+        await timer.wait_until(ports.timer, timer.now(ports.timer) + RETRY_INTERVAL_S)
     return False
 
 
@@ -297,7 +297,7 @@
     return await state.ports.ask(address, request, timeout_s)
 
 
-def _find_wait(state: State) -> cell.Wait:
+def _find_wait(state: State) -> cell.FindGrace:
     def wait(service: identity.ServiceId) -> float:
         traits = state.ports.describe_service(service)
         return 0.0 if traits.checks_fence else traits.deadline_s
@@ -305,8 +305,8 @@
     return wait
 
 
-def _make_seat(state: State) -> cell.Seat:
-    return cell.make_seat(state.ports.describe_member())
+def _make_seat(state: State) -> cell.NodeInstance:
+    return cell.make_instance(state.ports.describe_member())
 
 
 # The node
@@ -325,7 +325,7 @@
     ]
     if lapsed:
         decision.record(log, logging.WARNING, "lease-lapsed", node=node.node, shards=len(lapsed))
-        state.ports.abandon(lapsed)
+        state.ports.cancel_requests(lapsed)
     if node.lease_end_s > before.lease_end_s:
         state.renewed.set()
     if (
@@ -347,7 +347,7 @@
             return
         if found is not None:
             await state.ports.table.commit({name: found.version}, {name: value})
-        await _sleep(state, RETRY_S)
+        await _sleep(state, RETRY_INTERVAL_S)
 
 
 async def _beat(state: State) -> None:
@@ -359,7 +359,7 @@
         refusals = refusals + 1 if is_refused else 0
         # A new coordinator refuses until its standbys have consented, which takes a few
         # milliseconds; the next regular heartbeat would come after the lease has lapsed.
-        period = FIRST_RETRY_S * 2**refusals if is_refused else lease.HEARTBEAT_S
+        period = FIRST_RETRY_INTERVAL_S * 2**refusals if is_refused else lease.HEARTBEAT_S
         await _wait_event(state, state.beat, started + min(period, lease.HEARTBEAT_S))
 
 
@@ -403,7 +403,7 @@
     member = ports.describe_member()
     if state.is_leaving:
         member = msgspec.structs.replace(member, is_leaving=True)
-    has_loads = _now(state) - state.loads_sent_s >= LOADS_PERIOD_S
+    has_loads = _now(state) - state.loads_sent_s >= LOAD_REPORT_INTERVAL_S
     if has_loads:
         state.loads_sent_s = _now(state)
     return message.Heartbeat(
@@ -416,13 +416,13 @@
         is_suspended=any(map(lease.is_suspended, state.node.holdings.values())),
         loads=ports.collect_loads() if has_loads else [],
         hot_keys=ports.collect_hot_keys() if has_loads else [],
-        crashed=ports.collect_crashed(),
+        crashed=ports.collect_new_quarantine(),
     )
 
 
 async def _fetch_config(state: State, version: identity.ConfigVersion) -> None:
     request = message.FetchConfig(version=version)
-    reply = await _ask(state, state.node.coordinator_address, request, FETCH_S)
+    reply = await _ask(state, state.node.coordinator_address, request, FETCH_TIMEOUT_S)
     found = reply.value_or(None)
     if isinstance(found, message.Config) and found.version == version:
         _adopt(state, version, found.body)
@@ -474,7 +474,7 @@
         return _refuse(state, "lower term")
     own = state.ports.describe_member()
     if request.coordinator == own.node and (
-        state.duty is None or state.duty.rules.row.term != request.term
+        state.leadership is None or state.leadership.rules.row.term != request.term
     ):
         # The coordinator that stops has named this node its successor in the cell row.
         state.search.set()
@@ -508,8 +508,8 @@
         for pending in state.releasing.values():
             pending.scope.cancel()
         state.released.clear()
-        if state.duty is not None and state.duty.rules.row.term < term:
-            _step_down(state, state.duty, "higher term")
+        if state.leadership is not None and state.leadership.rules.row.term < term:
+            _step_down(state, state.leadership, "higher term")
         decision.record(
             log, logging.INFO, "follow", node=state.node.node, term=term, to=coordinator
         )
@@ -546,7 +546,7 @@
 
 
 async def _release(state: State, shard: identity.ShardId) -> None:
-    pending = Releasing(scope=trio.CancelScope(), done=trio.Event())
+    pending = PendingRelease(scope=trio.CancelScope(), done=trio.Event())
     state.releasing[shard] = pending
     try:
         with pending.scope:
@@ -599,7 +599,7 @@
     elif not is_kept:
         ports.forget([holding.shard])
         _inherit_partition(state, before, holding)
-    for key in lease.list_merged(before, holding):
+    for key in lease.list_merged_keys(before, holding):
         service = identity.split_shard(holding.shard)[0]
         shard = identity.name_key(service, key)
         if shard in before.holdings:
@@ -652,7 +652,7 @@
             await timer.wait_until(state.ports.timer, early)
             continue
         state.consented = trio.Event()
-        if promised > -math.inf and state.duty is None and not state.is_leaving:
+        if promised > -math.inf and state.leadership is None and not state.is_leaving:
             row, version, read_at = await _read_cell(state)
             await timer.wait_until(state.ports.timer, promised)
             is_seated = row is not None and _make_seat(state) in row.standbys
@@ -667,7 +667,7 @@
     read_at = _now(state)
     found = platform.Row()
     is_read = False
-    with trio.move_on_after(STORE_S):
+    with trio.move_on_after(STORE_TIMEOUT_S):
         reply = await state.ports.table.read(cell.name_cell_row(state.cell_id))
         is_read = isinstance(reply, result.Success)
         found = reply.value_or(found)
@@ -680,16 +680,16 @@
 
 async def _search(state: State) -> None:
     """Find the coordinator in the cell row when heartbeats fail."""
-    pause_s = RETRY_S
+    pause_s = RETRY_INTERVAL_S
     while True:
         await state.search.wait()
         state.search = trio.Event()
         row, version, read_at = await _read_cell(state)
         if version >= 0:
-            pause_s = RETRY_S
+            pause_s = RETRY_INTERVAL_S
             await _consider_row(state, row, version, read_at)
         else:
-            pause_s = min(2 * pause_s, MAX_SEARCH_S)
+            pause_s = min(2 * pause_s, MAX_SEARCH_INTERVAL_S)
         await _sleep(state, pause_s)
 
 
@@ -697,11 +697,11 @@
     state: State, row: cell.CellRow | None, version: int, read_at: float
 ) -> None:
     seat = _make_seat(state)
-    if state.duty is not None or state.is_leaving or state.standby.is_claiming:
+    if state.leadership is not None or state.is_leaving or state.standby.is_claiming:
         return
     if row is not None and row.term > state.node.term:
         if row.coordinator == seat:
-            await _take_up(state, row, version, lease.count_lease(_now(state)))
+            await _take_up(state, row, version, lease.compute_lease_end(_now(state)))
             return
         _follow(
             state,
@@ -715,9 +715,9 @@
     if row is None:
         await _claim(state, row, version, read_at, {})
     elif row.coordinator == seat:
-        if _now(state) - state.stepped_down_s > STEP_DOWN_S:
+        if _now(state) - state.stepped_down_s > RECLAIM_DELAY_S:
             await _claim(state, row, version, read_at, {})
-    elif _now(state) - since > ORPHAN_S:
+    elif _now(state) - since > CLAIM_DELAY_S:
         rows = (await state.ports.table.scan("node/")).value_or({})
         members = cell.read_members(rows)
         announced = {member.node: member.incarnation for member in members}
@@ -758,7 +758,7 @@
     value = cell.encode_row(row)
     while True:
         outcome = platform.CommitState.UNKNOWN
-        with trio.move_on_after(STORE_S):
+        with trio.move_on_after(STORE_TIMEOUT_S):
             outcome = await state.ports.table.commit({name: version}, {name: value})
         if outcome is platform.CommitState.COMMITTED:
             return True, version + 1
@@ -768,7 +768,7 @@
         if found_version >= 0 and found_version != version:
             return False, found_version
         # Not applied yet, but it may still be. Writing the same again settles it.
-        await _sleep(state, RETRY_S)
+        await _sleep(state, RETRY_INTERVAL_S)
 
 
 async def _take_up(state: State, row: cell.CellRow, version: int, bound: float) -> None:
@@ -798,8 +798,8 @@
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        duty = Duty(rules=rules, scope=nursery.cancel_scope, nursery=nursery)
-        state.duty = duty
+        duty = Leadership(rules=rules, scope=nursery.cancel_scope, nursery=nursery)
+        state.leadership = duty
         task_status.started()
         nursery.start_soon(_ask_consents, state, duty)
         await _load(state, duty)
@@ -809,8 +809,8 @@
         state.beat.set()
 
 
-def _step_down(state: State, duty: Duty, reason: str) -> None:
-    if state.duty is not duty:
+def _step_down(state: State, duty: Leadership, reason: str) -> None:
+    if state.leadership is not duty:
         return
     decision.record(
         log,
@@ -820,13 +820,13 @@
         term=duty.rules.row.term,
         reason=reason,
     )
-    state.duty = None
+    state.leadership = None
     state.stepped_down_s = _now(state)
     duty.scope.cancel()
     state.search.set()
 
 
-async def _load(state: State, duty: Duty) -> None:
+async def _load(state: State, duty: Leadership) -> None:
     table = state.ports.table
     rows: dict[str, platform.Row] = {}
     nodes: dict[str, platform.Row] = {}
@@ -837,7 +837,7 @@
             if found is not None:
                 into.update(found)
                 return
-            await _sleep(state, RETRY_S)
+            await _sleep(state, RETRY_INTERVAL_S)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(scan, "page/", rows)
@@ -856,38 +856,38 @@
             _start_collect(state, duty, node, address)
 
 
-def _wake(duty: Duty) -> None:
+def _wake(duty: Leadership) -> None:
     duty.wake.set()
     duty.changed.set()
     duty.changed = trio.Event()
 
 
-def _next_order(duty: Duty) -> int:
+def _next_order(duty: Leadership) -> int:
     duty.order += 1
     return duty.order
 
 
 def _handle_heartbeat(state: State, beat: message.Heartbeat) -> message.Message:
-    duty = state.duty
+    duty = state.leadership
     if duty is None or not duty.is_loaded:
         return _refuse(state, "not coordinator")
     _expire(state, duty)
-    duty.rules, answer = cell.hear(duty.rules, beat, _now(state))
-    duty.versions[beat.member.node] = beat.config_version
+    duty.rules, answer = cell.handle_heartbeat(duty.rules, beat, _now(state))
+    duty.config_versions[beat.member.node] = beat.config_version
     if duty.is_closing:
         return _refuse(state, "handing over")
-    if answer is cell.Answer.RENEW:
+    if answer is cell.HeartbeatAnswer.RENEW:
         return _renew(state, duty, beat)
-    if answer is cell.Answer.COLLECT:
+    if answer is cell.HeartbeatAnswer.COLLECT:
         _start_collect(state, duty, beat.member.node, beat.member.peer_address)
-    elif answer is cell.Answer.SUPERSEDED:
+    elif answer is cell.HeartbeatAnswer.SUPERSEDED:
         _step_down(state, duty, "higher term")
-    elif answer is cell.Answer.BEHIND_CONFIG:
+    elif answer is cell.HeartbeatAnswer.BEHIND_CONFIG:
         duty.poll.set()
     return _refuse(state, answer.value)
 
 
-def _renew(state: State, duty: Duty, beat: message.Heartbeat) -> message.Message:
+def _renew(state: State, duty: Leadership, beat: message.Heartbeat) -> message.Message:
     now = _now(state)
     for entry in beat.crashed:
         until = now + entry.remaining_s
@@ -904,7 +904,7 @@
 
 
 def _start_collect(
-    state: State, duty: Duty, node: identity.NodeId, address: identity.Address
+    state: State, duty: Leadership, node: identity.NodeId, address: identity.Address
 ) -> None:
     if node not in duty.collecting:
         duty.collecting.add(node)
@@ -912,7 +912,7 @@
 
 
 async def _collect(
-    state: State, duty: Duty, node: identity.NodeId, address: identity.Address
+    state: State, duty: Leadership, node: identity.NodeId, address: identity.Address
 ) -> None:
     own = _make_seat(state)
     request = message.Follow(
@@ -921,12 +921,12 @@
         address=own.address,
         order=_next_order(duty),
     )
-    reply = (await _ask(state, address, request, ASK_S)).value_or(None)
+    reply = (await _ask(state, address, request, ASK_TIMEOUT_S)).value_or(None)
     duty.collecting.discard(node)
     if isinstance(reply, message.Following) and reply.term == request.term:
         if reply.member.node in duty.rules.leases:
             return
-        duty.rules = cell.collect(duty.rules, reply, state.ports.find_parent, _now(state))
+        duty.rules = cell.record_holdings(duty.rules, reply, state.ports.find_parent, _now(state))
         decision.record(
             log,
             logging.INFO,
@@ -942,7 +942,7 @@
         _step_down(state, duty, "higher term")
 
 
-def _expire(state: State, duty: Duty) -> None:
+def _expire(state: State, duty: Leadership) -> None:
     duty.rules, lost = cell.expire(duty.rules, _find_wait(state), _now(state))
     if lost:
         _drop_memories(duty)
@@ -950,9 +950,9 @@
         _wake(duty)
 
 
-def _drop_memories(duty: Duty) -> None:
+def _drop_memories(duty: Leadership) -> None:
     """Drop memories of shards that somebody has held since and used tokens that they lack."""
-    assigned = duty.rules.assigned
+    assigned = duty.rules.assignments
     duty.memories = {
         shard: memory
         for shard, memory in duty.memories.items()
@@ -960,7 +960,7 @@
     }
 
 
-async def _ask_consents(state: State, duty: Duty) -> None:
+async def _ask_consents(state: State, duty: Leadership) -> None:
     subscription = timer.subscribe(state.ports.timer, period_s=lease.CONSENT_PERIOD_S)
     while True:
         if cell.should_step_down(duty.rules, _now(state)):
@@ -974,17 +974,17 @@
         await timer.tick(state.ports.timer, subscription)
 
 
-async def _ask_consent(state: State, duty: Duty, seat: cell.Seat) -> None:
+async def _ask_consent(state: State, duty: Leadership, seat: cell.NodeInstance) -> None:
     request = message.AskConsent(
         term=duty.rules.row.term,
         coordinator=duty.rules.seat.node,
         incarnation=duty.rules.seat.incarnation,
     )
     until = _now(state) + lease.CONSENT_PERIOD_S
-    retry_s = FIRST_RETRY_S
+    retry_s = FIRST_RETRY_INTERVAL_S
     while True:
         sent_at = _now(state)
-        reply = (await _ask(state, seat.address, request, ASK_S)).value_or(None)
+        reply = (await _ask(state, seat.address, request, ASK_TIMEOUT_S)).value_or(None)
         retry_s *= 2
         # A standby that lost the race for the claim refuses until it has read the row back.
         is_refused = isinstance(reply, message.Refused) and reply.term <= request.term
@@ -992,7 +992,7 @@
             break
         await _sleep(state, retry_s)
     if isinstance(reply, message.Consent) and reply.term == request.term:
-        duty.rules = cell.note_consent(duty.rules, seat.node, sent_at)
+        duty.rules = cell.record_consent(duty.rules, seat.node, sent_at)
         await _replace_standbys(state, duty)
     elif isinstance(reply, message.Refused) and reply.term > request.term:
         _step_down(state, duty, "higher term")
@@ -1000,7 +1000,7 @@
         await _replace_standbys(state, duty)
 
 
-async def _replace_standbys(state: State, duty: Duty) -> None:
+async def _replace_standbys(state: State, duty: Leadership) -> None:
     """Write the wanted standbys to the cell row once all of them have consented."""
     wanted = duty.wanted
     is_same = {seat.node: seat for seat in wanted} == {
@@ -1018,7 +1018,7 @@
         if not is_ours:
             _step_down(state, duty, "cell row changed")
             return
-        duty.rules = cell.settle_row(duty.rules, row, version)
+        duty.rules = cell.record_cell_row(duty.rules, row, version)
         names = ",".join(seat.node for seat in row.standbys)
         decision.record(log, logging.WARNING, "standbys", term=row.term, standbys=names)
     # Nodes that waited for consent need not wait for their next heartbeat here.
@@ -1026,9 +1026,9 @@
     _wake(duty)
 
 
-async def _poll_head(state: State, duty: Duty) -> None:
+async def _poll_head(state: State, duty: Leadership) -> None:
     while True:
-        due = _now(state) + HEAD_PERIOD_S
+        due = _now(state) + HEAD_POLL_INTERVAL_S
         duty.poll = trio.Event()
         row, version, asked_at = await _read_cell(state)
         if version >= 0:
@@ -1046,7 +1046,7 @@
         await _wait_event(state, duty.poll, due)
 
 
-async def _lead(state: State, duty: Duty) -> None:
+async def _lead(state: State, duty: Leadership) -> None:
     """Plan, revoke and grant whenever something has changed."""
     while True:
         duty.wake = trio.Event()
@@ -1060,57 +1060,59 @@
         for node, holdings in actions.grants.items():
             if node not in duty.granting:
                 duty.granting.add(node)
-                duty.rules = cell.note_grant(duty.rules, node, holdings)
+                duty.rules = cell.record_grant_sent(duty.rules, node, holdings)
                 duty.nursery.start_soon(_grant, state, duty, node, holdings)
         duty.commit.set()
         await _wait_event(state, duty.wake, _find_next(state, duty))
 
 
-def _find_next(state: State, duty: Duty) -> float:
+def _find_next(state: State, duty: Leadership) -> float:
     now = _now(state)
     times = [known.end_s for known in duty.rules.leases.values()]
-    times += [entry.free_at_s for entry in duty.rules.assigned.values()]
-    times += [duty.rules.unknown_until_s, now + PLAN_PERIOD_S]
+    times += [entry.free_at_s for entry in duty.rules.assignments.values()]
+    times += [duty.rules.unknown_until_s, now + PLAN_INTERVAL_S]
     return min(at for at in times if at > now)
 
 
-def _summarise(duty: Duty, now: float) -> tuple[int, int, int]:
+def _summarise(duty: Leadership, now: float) -> tuple[int, int, int]:
     """Return what calls for a new plan at once when it changes."""
     rules = duty.rules
     orphans = sum(
         not entry.holders and entry.target is None and now >= entry.free_at_s
-        for entry in rules.assigned.values()
+        for entry in rules.assignments.values()
     )
     return rules.members_version, rules.config_version, orphans
 
 
-def _plan(state: State, duty: Duty) -> None:
+def _plan(state: State, duty: Leadership) -> None:
     now = _now(state)
     if now < duty.rules.unknown_until_s:
         return
     summary = _summarise(duty, now)
-    if summary == duty.planned_for and now - duty.planned_s < PLAN_PERIOD_S:
+    if summary == duty.planned_for and now - duty.planned_s < PLAN_INTERVAL_S:
         return
     duty.planned_for, duty.planned_s = summary, now
     shards = state.ports.list_shards()
-    duty.rules = cell.declare(duty.rules, shards)
-    if now < duty.rules.since_s + GATHER_S and _is_unassigned(duty):
+    duty.rules = cell.add_unassigned(duty.rules, shards)
+    if now < duty.rules.since_s + DISCOVERY_S and _is_unassigned(duty):
         return
     view = cell.build_view(duty.rules, shards, now)
     if not view.members or not view.owners:
         return
     plan = state.ports.place(view)
-    if now - duty.store_checked_s > 2 * HEAD_PERIOD_S:
+    if now - duty.store_checked_s > 2 * HEAD_POLL_INTERVAL_S:
         orphaned = [move for move in plan.moves if view.owners.get(move.shard) is None]
         plan = assignment.Plan(split=[], merge=[], moves=orphaned)
     duty.rules = cell.apply_plan(duty.rules, plan, state.ports.find_parent, now)
 
 
-def _is_unassigned(duty: Duty) -> bool:
-    return all(entry.fence == 0 for entry in duty.rules.assigned.values())
+def _is_unassigned(duty: Leadership) -> bool:
+    return all(entry.fence == 0 for entry in duty.rules.assignments.values())
 
 
-async def _revoke(state: State, duty: Duty, node: identity.NodeId, shard: identity.ShardId) -> None:
+async def _revoke(
+    state: State, duty: Leadership, node: identity.NodeId, shard: identity.ShardId
+) -> None:
     known = duty.rules.leases.get(node)
     reply: message.Message | None = None
     if known is not None:
@@ -1121,7 +1123,7 @@
             order=_next_order(duty),
         )
         address = known.member.peer_address
-        reply = (await _ask(state, address, request, RELEASE_S)).value_or(None)
+        reply = (await _ask(state, address, request, RELEASE_TIMEOUT_S)).value_or(None)
     if isinstance(reply, message.Released):
         memories = {memory.shard: memory for memory in reply.memories}
         was_held = any(holding.shard == shard for holding in reply.holdings)
@@ -1129,16 +1131,16 @@
             duty.memories.pop(shard, None)
         duty.memories.update(memories)
         has_memory = not was_held or shard in memories
-        duty.rules = cell.note_released(duty.rules, node, shard, has_memory=has_memory)
+        duty.rules = cell.record_release(duty.rules, node, shard, has_memory=has_memory)
         _drop_memories(duty)
     else:
-        await _sleep(state, RETRY_S)
+        await _sleep(state, RETRY_INTERVAL_S)
     duty.revoking.discard((node, shard))
     _wake(duty)
 
 
 async def _grant(
-    state: State, duty: Duty, node: identity.NodeId, holdings: list[message.Holding]
+    state: State, duty: Leadership, node: identity.NodeId, holdings: list[message.Holding]
 ) -> None:
     known = duty.rules.leases.get(node)
     reply: message.Message | None = None
@@ -1154,18 +1156,20 @@
             to=known.member.incarnation,
             order=_next_order(duty),
         )
-        reply = (await _ask(state, known.member.peer_address, request, ASK_S)).value_or(None)
+        reply = (await _ask(state, known.member.peer_address, request, ASK_TIMEOUT_S)).value_or(
+            None
+        )
     if isinstance(reply, message.Granted):
-        duty.rules = cell.note_granted(duty.rules, node, holdings)
+        duty.rules = cell.record_grant_accepted(duty.rules, node, holdings)
         for holding in holdings:
             duty.memories.pop(holding.shard, None)
     else:
-        await _sleep(state, RETRY_S)
+        await _sleep(state, RETRY_INTERVAL_S)
     duty.granting.discard(node)
     _wake(duty)
 
 
-async def _commit_moves(state: State, duty: Duty) -> None:
+async def _commit_moves(state: State, duty: Leadership) -> None:
     while True:
         await duty.commit.wait()
         duty.commit = trio.Event()
@@ -1175,15 +1179,15 @@
                 await _commit(state, duty, transaction)
 
 
-async def _commit(state: State, duty: Duty, transaction: cell.Transaction) -> None:
+async def _commit(state: State, duty: Leadership, transaction: cell.Transaction) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_undo_late, state, duty)
         outcome = platform.CommitState.UNKNOWN
-        with trio.move_on_after(STORE_S):
+        with trio.move_on_after(STORE_TIMEOUT_S):
             outcome = await state.ports.table.commit(transaction.expected, transaction.writes)
         is_ours = outcome is platform.CommitState.COMMITTED
         if is_ours:
-            duty.rules = cell.count_commit(duty.rules, transaction)
+            duty.rules = cell.record_commit(duty.rules, transaction)
         else:
             is_ours = await _read_back(state, duty, transaction)
         nursery.cancel_scope.cancel()
@@ -1194,15 +1198,15 @@
     _wake(duty)
 
 
-async def _undo_late(state: State, duty: Duty) -> None:
+async def _undo_late(state: State, duty: Leadership) -> None:
     """Give shards back to their owners while a commit is late; it may still take effect.
 
     This includes shards that are being released for the next commit.
     """
-    await _sleep(state, UNDO_S)
+    await _sleep(state, LATE_COMMIT_S)
     planned = [
         shard
-        for shard, entry in duty.rules.assigned.items()
+        for shard, entry in duty.rules.assignments.items()
         if entry.target is not None and entry.is_ready and entry.owner in duty.rules.leases
     ]
     duty.rules = cell.cancel_moves(duty.rules, planned)
@@ -1211,7 +1215,7 @@
     _wake(duty)
 
 
-async def _read_back(state: State, duty: Duty, transaction: cell.Transaction) -> bool:
+async def _read_back(state: State, duty: Leadership, transaction: cell.Transaction) -> bool:
     """Read the rows of a write whose outcome is not known, and return whether it took effect."""
     while True:
         rows: dict[str, platform.Row] = {}
@@ -1222,13 +1226,13 @@
             rows[name] = found
         else:
             break
-        await _sleep(state, RETRY_S)
+        await _sleep(state, RETRY_INTERVAL_S)
     cell_row = rows.pop(cell.name_cell_row(state.cell_id))
     row = cell.decode_cell(cell_row.value) if cell_row.version else None
     if row != duty.rules.row:
         _step_down(state, duty, "cell row changed")
         return False
-    duty.rules = cell.settle_row(duty.rules, duty.rules.row, cell_row.version)
+    duty.rules = cell.record_cell_row(duty.rules, duty.rules.row, cell_row.version)
     is_ours = all(rows[name].value == value for name, value in transaction.writes.items())
     found_rows = {name: (found.value, found.version) for name, found in rows.items()}
     if is_ours:
@@ -1247,9 +1251,9 @@
     return is_ours
 
 
-def _log_changes(state: State, duty: Duty, changes: list[cell.Change]) -> None:
+def _log_changes(state: State, duty: Leadership, changes: list[cell.Change]) -> None:
     for change in changes:
-        duty.causes[change.shard] = (_now(state), change.reason.value)
+        duty.last_moves[change.shard] = (_now(state), change.reason.value)
         state.ports.observe_move(identity.split_shard(change.shard)[0], change.reason)
         decision.record(
             log,
@@ -1264,7 +1268,7 @@
         )
 
 
-def _send_routes(state: State, duty: Duty, changes: list[cell.Change]) -> None:
+def _send_routes(state: State, duty: Leadership, changes: list[cell.Change]) -> None:
     """Tell former owners where their shards went, so that they can pass requests on at once."""
     routes: dict[identity.NodeId, list[message.Route]] = {}
     for change in changes:
@@ -1274,11 +1278,11 @@
     for node, changed in routes.items():
         request = message.Rerouted(term=duty.rules.row.term, routes=changed)
         address = duty.rules.leases[node].member.peer_address
-        duty.nursery.start_soon(_ask, state, address, request, ASK_S)
+        duty.nursery.start_soon(_ask, state, address, request, ASK_TIMEOUT_S)
 
 
 async def _handle_leave(state: State, request: message.Leave) -> message.Message:
-    duty = state.duty
+    duty = state.leadership
     if duty is None or not duty.is_loaded:
         return _refuse(state, "not coordinator")
     known = duty.rules.leases.get(request.node)
@@ -1287,22 +1291,22 @@
     now = _now(state)
     others = [node for node in duty.rules.leases if node != request.node]
     if not any(cell.is_member(duty.rules, node, now) for node in others):
-        return _refuse(state, ALONE)
+        return _refuse(state, NO_OTHER_MEMBER)
     member = msgspec.structs.replace(known.member, is_leaving=True)
     leases = {**duty.rules.leases, request.node: dataclasses.replace(known, member=member)}
     duty.rules = dataclasses.replace(
         duty.rules, leases=leases, members_version=duty.rules.members_version + 1
     )
     _wake(duty)
-    until = now + LEAVE_S
+    until = now + LEAVE_TIMEOUT_S
     while not cell.is_drained(duty.rules, request.node):
-        if _now(state) >= until or state.duty is not duty:
+        if _now(state) >= until or state.leadership is not duty:
             return _refuse(state, "still holding shards")
         await _wait_event(state, duty.changed, until)
     return message.Done()
 
 
-async def _hand_over(state: State, duty: Duty) -> None:
+async def _hand_over(state: State, duty: Leadership) -> None:
     """Name a standby as coordinator, so that the cell need not wait for the end of consents."""
     now = _now(state)
     ready = [
@@ -1321,5 +1325,5 @@
         request = message.Follow(
             term=row.term, coordinator=ready[0].node, address=ready[0].address, order=0
         )
-        await _ask(state, ready[0].address, request, ASK_S)
+        await _ask(state, ready[0].address, request, ASK_TIMEOUT_S)
     _step_down(state, duty, "handed over")
--- a/src/ebonyvalve/process/quarantine.py
+++ b/src/ebonyvalve/process/quarantine.py
@@ -5,7 +5,7 @@
 
 from ebonyvalve.process import identity, message
 
-PERIOD_S = 60.0
+QUARANTINE_S = 60.0
 # 24 nodes that each lose a target with 10 requests in flight every 2 s make 7200 entries.
 CAPACITY = 8192
 
@@ -19,7 +19,7 @@
     unreported: set[identity.Fingerprint] = dataclasses.field(default_factory=set)
 
 
-def note_crash(
+def record_crash(
     state: Quarantine, fingerprints: collections.abc.Iterable[identity.Fingerprint], now: float
 ) -> None:
     """Quarantine every request that a target was running when it died.
@@ -32,7 +32,7 @@
     :param now: seconds on the node's clock.
     """
     for fingerprint in fingerprints:
-        _insert(state, fingerprint, now + PERIOD_S, now)
+        _insert(state, fingerprint, now + QUARANTINE_S, now)
         state.unreported.add(fingerprint)
 
 
@@ -46,7 +46,7 @@
     return state.until.get(fingerprint, now) > now
 
 
-def export_new(state: Quarantine, now: float) -> list[message.Quarantined]:
+def export_unreported(state: Quarantine, now: float) -> list[message.Quarantined]:
     """Return the entries that this node made and has not reported, for its next heartbeat.
 
     They stay unreported until :func:`confirm`, because a heartbeat may be lost.
@@ -97,9 +97,9 @@
     :param now: seconds on the node's clock.
     """
     for entry in entries:
-        remaining_s = min(entry.remaining_s, PERIOD_S)
+        remaining_s = min(entry.remaining_s, QUARANTINE_S)
         known_until = state.until.get(entry.fingerprint, float("-inf"))
-        if remaining_s > 0 and now + remaining_s > known_until + PERIOD_S / 2:
+        if remaining_s > 0 and now + remaining_s > known_until + QUARANTINE_S / 2:
             _insert(state, entry.fingerprint, now + remaining_s, now)
 
 
@@ -109,7 +109,7 @@
     :param state: the node's quarantine.
     :param now: seconds on the node's clock.
     """
-    for name in [name for name, until in state.until.items() if until + PERIOD_S / 2 <= now]:
+    for name in [name for name, until in state.until.items() if until + QUARANTINE_S / 2 <= now]:
         del state.until[name]
         state.unreported.discard(name)
 
--- a/src/ebonyvalve/process/site.py
+++ b/src/ebonyvalve/process/site.py
@@ -13,10 +13,10 @@
     identity,
     lease,
     limit,
-    memory,
     quarantine,
     straggler,
     target,
+    token_memory,
 )
 
 
@@ -47,8 +47,8 @@
     target: target.Target
     admission: limit.Target
     account: accounting.Account
-    books: dict[identity.ServiceId, straggler.Book] = dataclasses.field(
-        default_factory=lambda: collections.defaultdict(straggler.Book)
+    books: dict[identity.ServiceId, straggler.ServiceLatencies] = dataclasses.field(
+        default_factory=lambda: collections.defaultdict(straggler.ServiceLatencies)
     )
     in_flight: collections.Counter[identity.NodeId] = dataclasses.field(
         default_factory=collections.Counter
@@ -60,8 +60,8 @@
         default_factory=lambda: budget.Budget(share=budget.HEDGE_SHARE)
     )
     quarantined: quarantine.Quarantine = dataclasses.field(default_factory=quarantine.Quarantine)
-    quota: memory.Quota = dataclasses.field(default_factory=memory.Quota)
-    memories: dict[identity.ShardId, memory.Memory] = dataclasses.field(default_factory=dict)
+    quota: token_memory.Quota = dataclasses.field(default_factory=token_memory.Quota)
+    memories: dict[identity.ShardId, token_memory.Memory] = dataclasses.field(default_factory=dict)
     flights: dict[identity.ShardId, list[Flight]] = dataclasses.field(default_factory=dict)
     lost: list[tuple[float, identity.Fingerprint]] = dataclasses.field(default_factory=list)
     # Until when the target has been told that it may serve, in seconds.
@@ -105,7 +105,7 @@
 
 def find_memory(
     site: Site, shard: identity.ShardId, fence: identity.Fence, *, life_s: float
-) -> memory.Memory:
+) -> token_memory.Memory:
     """Return the token memory of a shard, made when first needed.
 
     :param site: the node's state.
@@ -116,8 +116,8 @@
     found = site.memories.get(shard)
     if found is None or found.is_closed or found.fence != fence:
         if found is not None and not found.is_closed:
-            memory.drop(found)
-        found = memory.create(shard=shard, fence=fence, life_s=life_s, quota=site.quota)
+            token_memory.drop(found)
+        found = token_memory.create(shard=shard, fence=fence, life_s=life_s, quota=site.quota)
         site.memories[shard] = found
     return found
 
@@ -191,7 +191,7 @@
     prints = [flight.fingerprint for flights in site.flights.values() for flight in flights]
     prints += [name for at_s, name in site.lost if now_s - at_s <= LOST_MEMORY_S]
     site.lost.clear()
-    quarantine.note_crash(site.quarantined, prints, now_s)
+    quarantine.record_crash(site.quarantined, prints, now_s)
     return len(prints)
 
 
@@ -206,7 +206,7 @@
     site.lost.append((now_s, fingerprint))
 
 
-def wake_admitted(site: Site, woken: limit.Wake) -> None:
+def wake_admitted(site: Site, woken: limit.Dequeued) -> None:
     """Wake the requests that admission lets run, or refuses.
 
     :param site: the node's state.
--- a/src/ebonyvalve/process/straggler.py
+++ b/src/ebonyvalve/process/straggler.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Latency:
+class TargetLatency:
     """Observed latency of one target."""
 
     mean_s: float
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Spread:
+class Distribution:
     """Distribution of the latest replies, in microseconds.
 
     Two histograms take turns, so that quantiles cover between one and two windows.
@@ -47,15 +47,15 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Book:
+class ServiceLatencies:
     """Observed latency of a service."""
 
-    targets: dict[identity.NodeId, Latency] = dataclasses.field(default_factory=dict)
-    spread: Spread = dataclasses.field(default_factory=Spread)
+    targets: dict[identity.NodeId, TargetLatency] = dataclasses.field(default_factory=dict)
+    spread: Distribution = dataclasses.field(default_factory=Distribution)
 
 
 def record(
-    book: Book, node: identity.NodeId, latency_s: float, *, is_complete: bool = True
+    book: ServiceLatencies, node: identity.NodeId, latency_s: float, *, is_complete: bool = True
 ) -> None:
     """Note the latency of one reply.
 
@@ -73,23 +73,23 @@
         return
     _record_spread(book.spread, latency_s)
     if latency is None:
-        latency = book.targets[node] = Latency(mean_s=latency_s)
+        latency = book.targets[node] = TargetLatency(mean_s=latency_s)
     else:
         latency.mean_s += MEAN_WEIGHT * (latency_s - latency.mean_s)
-    usual_s = find_usual(book, node)
+    usual_s = find_median_of_others(book, node)
     if usual_s is None:
         return
     if latency.is_straggler:
         latency.fast_run = latency.fast_run + 1 if latency_s <= RECOVERED * usual_s else 0
         if latency.fast_run >= FAST_REPLIES:
-            book.targets[node] = Latency(mean_s=latency_s)
+            book.targets[node] = TargetLatency(mean_s=latency_s)
         return
     latency.slow_run = latency.slow_run + 1 if latency.mean_s > SLOW * usual_s else 0
     if latency.slow_run >= SLOW_REPLIES:
         latency.is_straggler = True
 
 
-def find_usual(book: Book, node: identity.NodeId) -> float | None:
+def find_median_of_others(book: ServiceLatencies, node: identity.NodeId) -> float | None:
     """Return the median of the other targets' mean latencies in seconds, or ``None`` without any.
 
     The target itself is left out, since with two targets it would pull the median up.
@@ -101,7 +101,7 @@
     return statistics.median_low(others) if others else None
 
 
-def is_bypassed(book: Book, node: identity.NodeId) -> bool:
+def is_bypassed(book: ServiceLatencies, node: identity.NodeId) -> bool:
     """Return whether a target gets only probes.
 
     :param book: the service's latencies.
@@ -114,7 +114,7 @@
     return stragglers <= MAX_BYPASSED * len(book.targets)
 
 
-def forget(book: Book, node: identity.NodeId) -> None:
+def forget(book: ServiceLatencies, node: identity.NodeId) -> None:
     """Forget a target that left or got a new incarnation.
 
     :param book: the service's latencies.
@@ -123,7 +123,7 @@
     book.targets.pop(node, None)
 
 
-def read_quantile(book: Book, share: float) -> float | None:
+def read_quantile(book: ServiceLatencies, share: float) -> float | None:
     """Return a quantile of the service's latency in seconds, or ``None`` before the first replies.
 
     The value may lag by 256 replies.
@@ -144,7 +144,7 @@
     return spread.known[share]
 
 
-def _record_spread(spread: Spread, latency_s: float) -> None:
+def _record_spread(spread: Distribution, latency_s: float) -> None:
     spread.filling.record_value(max(1, int(latency_s * 1e6)))
     spread.replies += 1
     if spread.replies % REFRESH_REPLIES == 0 or spread.replies < REFRESH_REPLIES:
--- a/src/ebonyvalve/process/telemetry.py
+++ b/src/ebonyvalve/process/telemetry.py
@@ -36,8 +36,8 @@
     )
     for service in book.services:
         metrics.set_held_shards(book, service, held[service])
-    if owned.duty is not None:
-        _refresh_cell(book, owned.duty, elapsed_s)
+    if owned.leadership is not None:
+        _refresh_cell(book, owned.leadership, elapsed_s)
 
 
 def find_role(owned: ownership.State, now_s: float) -> report.Role:
@@ -46,17 +46,17 @@
     :param owned: the state of ownership.
     :param now_s: the time in seconds.
     """
-    if owned.duty is not None:
+    if owned.leadership is not None:
         return report.Role.COORDINATOR
     is_standby = owned.standby.promised_until_s > now_s
     return report.Role.STANDBY if is_standby else report.Role.MEMBER
 
 
-def _refresh_cell(book: metrics.Metrics, duty: ownership.Duty, elapsed_s: float) -> None:
+def _refresh_cell(book: metrics.Metrics, duty: ownership.Leadership, elapsed_s: float) -> None:
     """Set what only the coordinator knows: loads and shards without an owner."""
     unowned: collections.Counter[identity.ServiceId] = collections.Counter(
         identity.split_shard(shard)[0]
-        for shard, entry in duty.rules.assigned.items()
+        for shard, entry in duty.rules.assignments.items()
         if entry.owner == lease.NOBODY and not entry.is_merged
     )
     loads: dict[identity.ServiceId, list[float]] = collections.defaultdict(list)
--- a/src/ebonyvalve/process/memory.py
+++ b/src/ebonyvalve/process/token_memory.py
@@ -12,19 +12,19 @@
 # Identifies a token within a memory: the digest of its key and its random bytes.
 TokenId = typing.NewType("TokenId", bytes)
 # The digest of the key that a token is bound to; empty for services without keys.
-KeyTag = typing.NewType("KeyTag", bytes)
+KeyDigest = typing.NewType("KeyDigest", bytes)
 
-NODE_MARK = "node:"
-EVERY_KEY = KeyTag(b"")
+NODE_PREFIX = "node:"
+ALL_KEYS = KeyDigest(b"")
 # A token takes 157 bytes and a full memory 21 MB of the 64 MB that a node may spend on control
 # (bench/tokens.py). With a token life of 300 s it sustains 437 non-idempotent requests/s.
 DEFAULT_LIMIT = 131_072
 # An import cannot be refused without losing tokens, so it may exceed the limit up to this factor.
-IMPORT_FACTOR = 2
+MAX_IMPORT_FACTOR = 2
 UNKNOWN = "unknown"
 # Tokens carry whole milliseconds, and a clock that is carried over is off by rounding errors. A
 # token issued just before its epoch ended must not appear to have been issued afterwards.
-TICK_S = 0.001
+CLOCK_TOLERANCE_S = 0.001
 
 
 class Record(msgspec.Struct, frozen=True, gc=False, kw_only=True):
@@ -45,15 +45,15 @@
     shard: identity.ShardId
     fence: identity.Fence
     # Restricts the epoch to one key, after that key was split off or merged back.
-    key: KeyTag = EVERY_KEY
+    key: KeyDigest = ALL_KEYS
 
 
 @dataclasses.dataclass(kw_only=True)
-class Reach:
+class EpochCoverage:
     """How far an epoch is covered.
 
     The issuer's clock reads ``now - offset_s``. Tokens issued at or before ``horizon_s`` on that
-    clock may have been forgotten. The issuer issued none after ``closed_s``. ``departed`` has the
+    clock may have been forgotten. The issuer issued none after ``closed_s``. ``split_keys`` has the
     keys that were split off, with the time of the split on the issuer's clock: the tokens issued
     for them until then went with the split.
     """
@@ -61,7 +61,7 @@
     offset_s: float = 0.0
     horizon_s: float = float("-inf")
     closed_s: float = float("inf")
-    departed: dict[KeyTag, float] = dataclasses.field(default_factory=dict)
+    split_keys: dict[KeyDigest, float] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -83,25 +83,25 @@
     fence: identity.Fence
     life_s: float
     quota: Quota
-    reaches: dict[Epoch, Reach] = dataclasses.field(default_factory=dict)
+    coverage: dict[Epoch, EpochCoverage] = dataclasses.field(default_factory=dict)
     used: dict[TokenId, Record] = dataclasses.field(default_factory=dict)
     running: set[TokenId] = dataclasses.field(default_factory=set)
     # Memories of keys that were split off while their requests ran.
-    parts: dict[KeyTag, "Memory"] = dataclasses.field(default_factory=dict)
+    split_memories: dict[KeyDigest, "Memory"] = dataclasses.field(default_factory=dict)
     # Set by an export: a token that began afterwards could run again at the next owner.
     is_closed: bool = False
 
 
-def name_node(service: identity.ServiceId, node: identity.NodeId) -> identity.ShardId:
+def name_node_shard(service: identity.ServiceId, node: identity.NodeId) -> identity.ShardId:
     """Return the name under which a node issues tokens for a service without keys.
 
     :param service: the service.
     :param node: the issuing node.
     """
-    return identity.ShardId(f"{service}/{NODE_MARK}{node}")
+    return identity.ShardId(f"{service}/{NODE_PREFIX}{node}")
 
 
-def fence_incarnation(incarnation: identity.Incarnation) -> identity.Fence:
+def derive_fence(incarnation: identity.Incarnation) -> identity.Fence:
     """Return the number that stands for a node's incarnation in tokens without a fencing token.
 
     :param incarnation: the issuing node's incarnation.
@@ -109,12 +109,12 @@
     return identity.Fence(xxhash.xxh3_64_intdigest(incarnation.encode()))
 
 
-def tag_key(key: identity.KeyId | None) -> KeyTag:
+def digest_key(key: identity.KeyId | None) -> KeyDigest:
     """Return the digest of a key.
 
     :param key: the key, or ``None`` for services without keys.
     """
-    return EVERY_KEY if key is None else KeyTag(xxhash.xxh3_64_digest(key.encode()))
+    return ALL_KEYS if key is None else KeyDigest(xxhash.xxh3_64_digest(key.encode()))
 
 
 def create(
@@ -132,18 +132,18 @@
     :param quota: shared by all memories of the node.
     """
     memory = Memory(shard=shard, fence=fence, life_s=life_s, quota=quota)
-    memory.reaches[Epoch(shard=shard, fence=fence)] = Reach()
+    memory.coverage[Epoch(shard=shard, fence=fence)] = EpochCoverage()
     return memory
 
 
-def find_reach(
+def find_coverage(
     memory: Memory,
     shard: identity.ShardId,
     fence: identity.Fence,
     *,
-    key: KeyTag,
+    key: KeyDigest,
     issued_s: float,
-) -> Reach | None:
+) -> EpochCoverage | None:
     """Return how far the memory covers a token's epoch, or ``None`` if it does not.
 
     :param memory: the shard's memory.
@@ -152,16 +152,16 @@
     :param key: the digest of the token's key.
     :param issued_s: when the token was issued, on the issuer's clock.
     """
-    own = memory.reaches.get(Epoch(shard=shard, fence=fence, key=key))
+    own = memory.coverage.get(Epoch(shard=shard, fence=fence, key=key))
     if own is not None and issued_s <= own.closed_s:
         return own
-    shared = memory.reaches.get(Epoch(shard=shard, fence=fence))
-    if shared is None or issued_s <= shared.departed.get(key, float("-inf")):
+    shared = memory.coverage.get(Epoch(shard=shard, fence=fence))
+    if shared is None or issued_s <= shared.split_keys.get(key, float("-inf")):
         return None
     return shared
 
 
-def is_expired(memory: Memory, reach: Reach, issued_s: float, now: float) -> bool:
+def is_expired(memory: Memory, reach: EpochCoverage, issued_s: float, now: float) -> bool:
     """Return whether a token's life is over.
 
     The horizon keeps a token expired when the life is made longer, or when the clock that was
@@ -185,12 +185,12 @@
     :param now: seconds on the node's clock.
     """
     past = now - memory.life_s
-    for epoch, reach in list(memory.reaches.items()):
+    for epoch, reach in list(memory.coverage.items()):
         reach.horizon_s = max(reach.horizon_s, past - reach.offset_s)
-        for key in [key for key, at_s in reach.departed.items() if at_s <= reach.horizon_s]:
-            del reach.departed[key]
+        for key in [key for key, at_s in reach.split_keys.items() if at_s <= reach.horizon_s]:
+            del reach.split_keys[key]
         if reach.closed_s <= reach.horizon_s:
-            del memory.reaches[epoch]
+            del memory.coverage[epoch]
     forgotten = []
     for token, record in memory.used.items():
         if record.used_at > past:
@@ -228,7 +228,7 @@
         records[token] = Record(verdict=UNKNOWN, status=0, used_at=now)
     return message.TokenMemory(
         shard=memory.shard,
-        epochs=[(epoch.shard, epoch.fence) for epoch in memory.reaches],
+        epochs=[(epoch.shard, epoch.fence) for epoch in memory.coverage],
         used=[
             message.UsedToken(
                 token=_write(token),
@@ -242,11 +242,11 @@
             message.Coverage(
                 clock_s=now - reach.offset_s,
                 horizon_s=reach.horizon_s,
-                closed_s=min(reach.closed_s, now - reach.offset_s + TICK_S),
+                closed_s=min(reach.closed_s, now - reach.offset_s + CLOCK_TOLERANCE_S),
                 key=_write(epoch.key),
-                departed=[(_write(key), at_s) for key, at_s in reach.departed.items()],
+                split_keys=[(_write(key), at_s) for key, at_s in reach.split_keys.items()],
             )
-            for epoch, reach in memory.reaches.items()
+            for epoch, reach in memory.coverage.items()
         ],
     )
 
@@ -262,23 +262,23 @@
     :param moved: from the former owner's :func:`export_memory`.
     :param now: seconds on the node's clock.
     """
-    key = EVERY_KEY
+    key = ALL_KEYS
     if moved.shard != memory.shard:
-        key = tag_key(identity.split_shard(moved.shard)[2])
+        key = digest_key(identity.split_shard(moved.shard)[2])
     named = {TokenId(_read(used.token)): used for used in moved.used}
     known = memory.used.keys() | memory.running
     fresh = {token: used for token, used in named.items() if token not in known}
-    if memory.quota.count + len(fresh) > IMPORT_FACTOR * memory.quota.limit:
+    if memory.quota.count + len(fresh) > MAX_IMPORT_FACTOR * memory.quota.limit:
         return False
     for (shard, fence), coverage in zip(moved.epochs, moved.coverage, strict=False):
-        epoch = Epoch(shard=shard, fence=fence, key=key or KeyTag(_read(coverage.key)))
-        if epoch in memory.reaches:
+        epoch = Epoch(shard=shard, fence=fence, key=key or KeyDigest(_read(coverage.key)))
+        if epoch in memory.coverage:
             continue
-        memory.reaches[epoch] = Reach(
+        memory.coverage[epoch] = EpochCoverage(
             offset_s=now - coverage.clock_s,
             horizon_s=coverage.horizon_s,
             closed_s=coverage.closed_s,
-            departed={KeyTag(_read(gone)): at_s for gone, at_s in coverage.departed},
+            split_keys={KeyDigest(_read(gone)): at_s for gone, at_s in coverage.split_keys},
         )
     for token, used in fresh.items():
         memory.used[token] = Record(
@@ -308,24 +308,24 @@
     :param fence: the fencing token of the key's own shard.
     :param now: seconds on the node's clock.
     """
-    tag = tag_key(key)
+    tag = digest_key(key)
     own = create(shard=shard, fence=fence, life_s=memory.life_s, quota=memory.quota)
-    for epoch in [epoch for epoch in memory.reaches if epoch.key == tag]:
-        own.reaches[epoch] = memory.reaches.pop(epoch)
-    for epoch, reach in memory.reaches.items():
-        if epoch.key != EVERY_KEY:
+    for epoch in [epoch for epoch in memory.coverage if epoch.key == tag]:
+        own.coverage[epoch] = memory.coverage.pop(epoch)
+    for epoch, reach in memory.coverage.items():
+        if epoch.key != ALL_KEYS:
             continue
-        split_s = now - reach.offset_s + TICK_S
-        earlier = own.reaches.get(dataclasses.replace(epoch, key=tag))
-        horizon_s = max(reach.horizon_s, reach.departed.get(tag, float("-inf")))
-        own.reaches[dataclasses.replace(epoch, key=tag)] = Reach(
+        split_s = now - reach.offset_s + CLOCK_TOLERANCE_S
+        earlier = own.coverage.get(dataclasses.replace(epoch, key=tag))
+        horizon_s = max(reach.horizon_s, reach.split_keys.get(tag, float("-inf")))
+        own.coverage[dataclasses.replace(epoch, key=tag)] = EpochCoverage(
             offset_s=reach.offset_s,
             # A key that was merged back with its memory is covered without a gap.
             horizon_s=horizon_s if earlier is None else earlier.horizon_s,
             closed_s=min(reach.closed_s, split_s),
         )
-        reach.departed[tag] = split_s
-    memory.parts[tag] = own
+        reach.split_keys[tag] = split_s
+    memory.split_memories[tag] = own
     for token in [token for token in memory.used if token.startswith(tag)]:
         own.used[token] = memory.used.pop(token)
     for token in [token for token in memory.running if token.startswith(tag)]:
--- a/src/ebonyvalve/request/explanation.py
+++ b/src/ebonyvalve/request/explanation.py
@@ -36,7 +36,7 @@
             lines.append("  its requests need a key: 400")
         else:
             lines.extend(_explain_owner(entry.node, service, key_slot))
-        repeats = budget.find(entry.node.budget, service).level
+        repeats = budget.find_budget(entry.node.budget, service).level
         lines.append(f"  repeats that this node may make now: {int(repeats)}")
     return lines
 
--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -8,7 +8,7 @@
 import trio
 
 from ebonyvalve.connection import pool
-from ebonyvalve.process import budget, decision, identity, lease, memory, site
+from ebonyvalve.process import budget, decision, identity, lease, site, token_memory
 from ebonyvalve.request import (
     dispatch,
     exchange,
@@ -119,8 +119,8 @@
 async def _try_until_answered(shared: Handler, progress: Progress) -> outcome.Outcome:
     here = shared.here
     if not progress.call.is_hop:
-        budget.earn(here.retries)
-        budget.earn(here.hedges)
+        budget.credit(here.retries)
+        budget.credit(here.hedges)
     while True:
         changed = here.changed
         choice = _choose(shared, progress)
@@ -281,8 +281,8 @@
 
     if not is_granted():
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
-    shard = memory.name_node(progress.service.name, here.node)
-    fence = memory.fence_incarnation(here.incarnation)
+    shard = token_memory.name_node_shard(progress.service.name, here.node)
+    fence = token_memory.derive_fence(here.incarnation)
     return await local.run(here, _build_job(shared, progress, shard, fence, is_granted), gate)
 
 
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -13,11 +13,11 @@
     decision,
     identity,
     limit,
-    memory,
     quarantine,
     site,
     straggler,
     target,
+    token_memory,
 )
 from ebonyvalve.request import (
     attempt as attempts,
@@ -108,7 +108,7 @@
 async def _make_attempt(
     here: site.Site,
     job: Job,
-    tokens: memory.Memory,
+    tokens: token_memory.Memory,
     fingerprint: identity.Fingerprint,
     ticket: limit.Ticket,
     gate: dispatch.FilterReply,
@@ -144,7 +144,12 @@
 
 
 def _build_context(
-    here: site.Site, job: Job, tokens: memory.Memory, gate: dispatch.FilterReply, *, is_once: bool
+    here: site.Site,
+    job: Job,
+    tokens: token_memory.Memory,
+    gate: dispatch.FilterReply,
+    *,
+    is_once: bool,
 ) -> attempts.AttemptContext:
     def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if wire.find_header(headers, front.OUTCOME_HEADER) == b"not-run":
@@ -193,7 +198,7 @@
     ]
 
 
-def issue(here: site.Site, job: Job, tokens: memory.Memory) -> bytes:
+def issue(here: site.Site, job: Job, tokens: token_memory.Memory) -> bytes:
     """Return a fresh one-time token for the key of a request.
 
     :param here: the node's state.
@@ -210,7 +215,7 @@
 
 
 async def _check_token(
-    here: site.Site, job: Job, tokens: memory.Memory
+    here: site.Site, job: Job, tokens: token_memory.Memory
 ) -> exchange.Completion | None:
     """Return why the request may not run, or ``None`` if its token is fresh.
 
@@ -235,7 +240,7 @@
 
 
 def _refuse_token(
-    here: site.Site, job: Job, tokens: memory.Memory, found: token.Finding
+    here: site.Site, job: Job, tokens: token_memory.Memory, found: token.Finding
 ) -> exchange.Completion:
     headers = [(front.TOKEN_HEADER, issue(here, job, tokens))]
     if found.used is not None:
@@ -244,7 +249,7 @@
     return exchange.Completion(result=refusal, headers=headers)
 
 
-async def _admit(here: site.Site, call: exchange.Call) -> limit.Answer:
+async def _admit(here: site.Site, call: exchange.Call) -> limit.Decision:
     """Wait for admission within the deadline."""
     answer = limit.admit(here.admission, now=here.now(), deadline=call.deadline_at_s)
     if answer.admission is not limit.Admission.WAIT or answer.ticket is None:
@@ -260,8 +265,8 @@
         if not is_woken:
             _cancel_admission(here, answer.ticket)
     if is_woken:
-        return limit.Answer(admission=limit.Admission.RUN, ticket=answer.ticket)
-    return limit.Answer(admission=limit.Admission.REFUSE, cause=limit.Cause.DEADLINE)
+        return limit.Decision(admission=limit.Admission.RUN, ticket=answer.ticket)
+    return limit.Decision(admission=limit.Admission.REFUSE, cause=limit.Cause.DEADLINE)
 
 
 def _cancel_admission(here: site.Site, ticket: limit.Ticket) -> None:
@@ -281,7 +286,7 @@
     site.wake_admitted(here, woken)
 
 
-def _refuse_admission(answer: limit.Answer) -> exchange.Completion:
+def _refuse_admission(answer: limit.Decision) -> exchange.Completion:
     reason = ADMISSION_REASONS.get(answer.cause, outcome.Reason.QUEUE_FULL)
     seconds = max(1, round(answer.retry_after_s))
     headers = [(b"retry-after", str(seconds).encode())]
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -132,7 +132,7 @@
         await send_refusal(caller, refusal, RETRY_AFTER_S)
         _record(origin, call, refusal, started_at, [])
         return refusal
-    budget.earn(budget.find(origin.node.budget, call.service))
+    budget.credit(budget.find_budget(origin.node.budget, call.service))
     buffered_caller = buffering.buffer_reply(caller)
     tried: list[identity.NodeId] = []
     completion, is_caller_gone = await _run_cancellable(
@@ -195,7 +195,7 @@
     rules = call.rules
     assert rules is not None
     node = origin.node
-    bucket = budget.find(node.budget, call.service)
+    bucket = budget.find_budget(node.budget, call.service)
     unknown_count = 0
     excluded: set[identity.NodeId] = set()
     completion = delivery.Completion(
--- a/src/ebonyvalve/request/token.py
+++ b/src/ebonyvalve/request/token.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ebonyvalve.process import identity, memory
+from ebonyvalve.process import identity, token_memory
 from ebonyvalve.request import outcome
 
 NONCE_BYTES = 12
@@ -64,7 +64,7 @@
 
 
 def issue(
-    state: memory.Memory, *, key: identity.KeyId | None, now: float, random_bytes: bytes
+    state: token_memory.Memory, *, key: identity.KeyId | None, now: float, random_bytes: bytes
 ) -> str:
     """Return a new token for a key of the shard.
 
@@ -79,7 +79,7 @@
         Token(
             shard=state.shard,
             fence=state.fence,
-            key=memory.tag_key(key),
+            key=token_memory.digest_key(key),
             issued_ms=int(now * 1000),
             nonce=random_bytes,
         )
@@ -118,12 +118,14 @@
     if token is None:
         return None
     _, _, rest = token.shard.partition("/")
-    if not rest.startswith(memory.NODE_MARK):
+    if not rest.startswith(token_memory.NODE_PREFIX):
         return None
-    return identity.NodeId(rest[len(memory.NODE_MARK) :])
+    return identity.NodeId(rest[len(token_memory.NODE_PREFIX) :])
 
 
-def check(state: memory.Memory, text: str, *, key: identity.KeyId | None, now: float) -> Finding:
+def check(
+    state: token_memory.Memory, text: str, *, key: identity.KeyId | None, now: float
+) -> Finding:
     """Return the standing of a token without changing the memory.
 
     :param state: the memory of the shard that serves the key at present.
@@ -134,7 +136,7 @@
     token = parse(text)
     if token is None:
         return Finding(standing=Standing.MALFORMED)
-    tag = memory.tag_key(key)
+    tag = token_memory.digest_key(key)
     if token.key != tag or _read_service(token.shard) != _read_service(state.shard):
         return Finding(standing=Standing.WRONG_SHARD)
     token_id = _build_token_id(token)
@@ -153,12 +155,12 @@
     if state.is_closed:
         return Finding(standing=Standing.MOVED)
     issued_s = token.issued_ms / 1000
-    reach = memory.find_reach(state, token.shard, token.fence, key=tag, issued_s=issued_s)
+    reach = token_memory.find_coverage(state, token.shard, token.fence, key=tag, issued_s=issued_s)
     if reach is None:
         return Finding(standing=Standing.EPOCH_LOST)
-    if memory.is_expired(state, reach, issued_s, now):
+    if token_memory.is_expired(state, reach, issued_s, now):
         return Finding(standing=Standing.EXPIRED)
-    if issued_s > min(now - reach.offset_s + memory.TICK_S, reach.closed_s):
+    if issued_s > min(now - reach.offset_s + token_memory.CLOCK_TOLERANCE_S, reach.closed_s):
         # No token is issued in the future; accepting one would lengthen its life.
         return Finding(standing=Standing.MALFORMED)
     if state.quota.count >= state.quota.limit:
@@ -166,7 +168,9 @@
     return Finding(standing=Standing.FRESH)
 
 
-def begin(state: memory.Memory, text: str, *, key: identity.KeyId | None, now: float) -> Finding:
+def begin(
+    state: token_memory.Memory, text: str, *, key: identity.KeyId | None, now: float
+) -> Finding:
     """Check a token again and, if it is fresh, record that its request runs.
 
     Only the caller that gets ``FRESH`` may run the request, and must call :func:`finish`.
@@ -177,7 +181,7 @@
     :param now: seconds on the node's clock.
     """
     finding = check(state, text, key=key, now=now)
-    if finding.standing is Standing.MEMORY_FULL and memory.forget(state, now):
+    if finding.standing is Standing.MEMORY_FULL and token_memory.forget(state, now):
         finding = check(state, text, key=key, now=now)
     token = parse(text)
     if finding.standing is Standing.FRESH and token is not None:
@@ -186,7 +190,7 @@
     return finding
 
 
-def finish(state: memory.Memory, text: str, result: outcome.Outcome, *, now: float) -> bool:
+def finish(state: token_memory.Memory, text: str, result: outcome.Outcome, *, now: float) -> bool:
     """Record what became of a request that :func:`begin` admitted; return whether it was recorded.
 
     A request that did not run leaves its token fresh. After an export nothing is recorded, since
@@ -203,21 +207,21 @@
         return False
     token_id = _build_token_id(token)
     if token_id not in state.running:
-        state = state.parts.get(memory.KeyTag(token.key), state)
+        state = state.split_memories.get(token_memory.KeyDigest(token.key), state)
     if token_id not in state.running or state.is_closed:
         return False
     state.running.remove(token_id)
     if result.verdict is outcome.Verdict.NOT_RUN:
         state.quota.count -= 1
         return True
-    state.used[token_id] = memory.Record(
+    state.used[token_id] = token_memory.Record(
         verdict=result.verdict.value, status=result.status, used_at=now
     )
     return True
 
 
-def _build_token_id(token: Token) -> memory.TokenId:
-    return memory.TokenId(token.key + token.nonce)
+def _build_token_id(token: Token) -> token_memory.TokenId:
+    return token_memory.TokenId(token.key + token.nonce)
 
 
 def _read_service(shard: identity.ShardId) -> str:
--- a/src/ebonyvalve/version/diagnostics.py
+++ b/src/ebonyvalve/version/diagnostics.py
@@ -92,8 +92,8 @@
     latency = book.targets.get(member.node)
     is_here = member.node == here.node
     version = None
-    if owned.duty is not None:
-        version = owned.duty.versions.get(member.node)
+    if owned.leadership is not None:
+        version = owned.leadership.config_versions.get(member.node)
     return report.Target(
         node=member.node,
         zone=member.zone,
@@ -181,7 +181,7 @@
     owner = None if entry is None or entry.owner == lease.NOBODY else entry.owner
     kind, route_node, reason = choose_route(service, key)
     # Only the coordinator knows since when and why.
-    causes = {} if owned.duty is None else owned.duty.causes
+    causes = {} if owned.leadership is None else owned.leadership.last_moves
     since = None if shard is None else causes.get(shard)
     refusals = list_obstacles(here, snapshot)
     if reason != "none":
--- a/src/ebonyvalve/version/forecast.py
+++ b/src/ebonyvalve/version/forecast.py
@@ -52,7 +52,7 @@
     is_final: bool
 
 
-def simulate(snapshot: route.Snapshot, view: assignment.View) -> StableAssignment:
+def simulate(snapshot: route.Snapshot, view: assignment.PlacementView) -> StableAssignment:
     """Apply plans to a view under constant load until nothing is planned any more.
 
     Cold targets are taken to be warm, as the result is that after their slow start.
@@ -129,7 +129,7 @@
 
 
 def list_zones_at_risk(
-    snapshot: route.Snapshot, view: assignment.View, settled: StableAssignment
+    snapshot: route.Snapshot, view: assignment.PlacementView, settled: StableAssignment
 ) -> list[tuple[identity.ServiceId, identity.ZoneId]]:
     """Return the zones whose loss leaves a service too few slots for its load.
 
@@ -160,7 +160,7 @@
 
 
 def compare_configurations(
-    before: route.Snapshot, after: route.Snapshot, view: assignment.View
+    before: route.Snapshot, after: route.Snapshot, view: assignment.PlacementView
 ) -> Forecast:
     """Return what changes when one configuration replaces another.
 
--- a/src/ebonyvalve/version/placement.py
+++ b/src/ebonyvalve/version/placement.py
@@ -288,7 +288,7 @@
 
 def observe(
     state: State,
-    view: assignment.View,
+    view: assignment.PlacementView,
     services: dict[identity.ServiceId, objects.Service],
     shards: dict[identity.ServiceId, list[identity.ShardId]],
 ) -> None:
@@ -342,7 +342,7 @@
 
 def average_loads(
     state: State,
-    view: assignment.View,
+    view: assignment.PlacementView,
     service: identity.ServiceId,
     shards: list[identity.ShardId],
     elapsed_s: float,
@@ -402,7 +402,9 @@
 
 
 def transfer_loads(
-    state: State, view: assignment.View, services: dict[identity.ServiceId, objects.Service]
+    state: State,
+    view: assignment.PlacementView,
+    services: dict[identity.ServiceId, objects.Service],
 ) -> None:
     """Carry the smoothed loads over when keys were split off or merged since the last view.
 
@@ -426,7 +428,9 @@
         state.divided_until_s[parent] = state.divided_until_s[shard] = view.now_s + HOLD_S
 
 
-def observe_members(state: State, view: assignment.View, all_limits: list[Constraints]) -> None:
+def observe_members(
+    state: State, view: assignment.PlacementView, all_limits: list[Constraints]
+) -> None:
     """Note since when members are eligible, and since when their targets are cold.
 
     Members of the first view count as eligible for long.
@@ -453,7 +457,7 @@
 
 def build_board(
     limits: Constraints,
-    view: assignment.View,
+    view: assignment.PlacementView,
     state: State,
     shards: list[identity.ShardId],
 ) -> Board:
@@ -686,7 +690,7 @@
 
 def plan_forced(
     board: Board,
-    view: assignment.View,
+    view: assignment.PlacementView,
     state: State,
     shards: list[identity.ShardId],
     planned: dict[identity.ShardId, assignment.Move],
@@ -744,7 +748,7 @@
 
 def plan_keys(
     board: Board,
-    view: assignment.View,
+    view: assignment.PlacementView,
     state: State,
     planned: dict[identity.ShardId, assignment.Move],
 ) -> tuple[list[identity.ShardId], list[identity.ShardId]]:
@@ -913,7 +917,7 @@
 
 def keep_pending(
     board: Board,
-    view: assignment.View,
+    view: assignment.PlacementView,
     state: State,
     planned: dict[identity.ShardId, assignment.Move],
 ) -> None:
@@ -947,7 +951,7 @@
 
 def plan_service(
     limits: Constraints,
-    view: assignment.View,
+    view: assignment.PlacementView,
     state: State,
     shards: list[identity.ShardId],
 ) -> assignment.Plan:
@@ -972,7 +976,7 @@
     return assignment.Plan(split=split, merge=merge, moves=list(planned.values()))
 
 
-def build_place(snapshot: route.Snapshot, state: State) -> assignment.Place:
+def build_place(snapshot: route.Snapshot, state: State) -> assignment.PlaceShards:
     """Return the placement function for a configuration.
 
     :param snapshot: the configuration.
@@ -987,7 +991,7 @@
     shards: dict[identity.ServiceId, list[identity.ShardId]] = {}
     known: set[identity.ShardId] = set()
 
-    def place(view: assignment.View) -> assignment.Plan:
+    def place(view: assignment.PlacementView) -> assignment.Plan:
         # Shards change seldom; sorting them at each call would take a third of a round.
         if known != view.owners.keys():
             known.clear()
@@ -1028,7 +1032,7 @@
     return pending.planned_s if pending is not None and pending.move == move else now_s
 
 
-def note_losses(state: State, view: assignment.View) -> None:
+def note_losses(state: State, view: assignment.PlacementView) -> None:
     """Note the last owner of shards whose owner failed since the last view.
 
     :param state: changed in place.
@@ -1043,7 +1047,7 @@
             state.former.pop(shard, None)
 
 
-def explain(move: assignment.Move, view: assignment.View) -> str:
+def explain(move: assignment.Move, view: assignment.PlacementView) -> str:
     """Return a sentence for the log that says why a shard moves.
 
     :param move: a move planned for the view.
--- a/src/ebonyvalve/version/preview.py
+++ b/src/ebonyvalve/version/preview.py
@@ -47,7 +47,9 @@
 def _settle(
     snapshot: route.Snapshot, members: dict[identity.NodeId, message.Member], owners: Owners
 ) -> forecast.StableAssignment:
-    view = assignment.View(members=members, owners=owners, loads={}, hot_keys={}, now_s=0.0)
+    view = assignment.PlacementView(
+        members=members, owners=owners, loads={}, hot_keys={}, now_s=0.0
+    )
     return forecast.simulate(snapshot, view)
 
 
--- a/tests/bench/test_checkers.py
+++ b/tests/bench/test_checkers.py
@@ -44,7 +44,7 @@
 def break_commit(patch: pytest.MonkeyPatch) -> None:
     """Apply and announce assignments that are not written to the table."""
 
-    async def skip(state: ownership.State, duty: ownership.Duty, planned: object) -> None:
+    async def skip(state: ownership.State, duty: ownership.Leadership, planned: object) -> None:
         await trio.lowlevel.checkpoint()
         assert isinstance(planned, cell.Transaction)
         duty.rules = cell.apply_changes(duty.rules, planned.changes)
--- a/tests/process/keyspace/test_steward.py
+++ b/tests/process/keyspace/test_steward.py
@@ -114,7 +114,7 @@
         draw=rng.random,
         gate=gate.Gate(slots=1, cold_rate=0.0),
         grantor=grant.start(now=now(), most_hold_s=grant.choose_hold(HEARTBEAT_S)),
-        budget=budget.Allowance(share=0.1),
+        budget=budget.ServiceBudgets(share=0.1),
         heat=heat.Heat(at=now()),
         config=identity.ConfigVersion(1),
         policies={SERVICE: POLICY},
--- a/tests/process/mesh.py
+++ b/tests/process/mesh.py
@@ -101,7 +101,7 @@
     ]
 
 
-def place(mesh: Mesh, view: assignment.View) -> assignment.Plan:
+def place(mesh: Mesh, view: assignment.PlacementView) -> assignment.Plan:
     """Give unowned shards, and those of leaving nodes, to the members with the fewest."""
     members = [node for node, member in view.members.items() if not member.is_leaving]
     counts = dict.fromkeys(sorted(members), 0)
@@ -259,15 +259,15 @@
         install=install,
         inherit=inherit,
         forget=forget,
-        abandon=host.abandoned.extend,
+        cancel_requests=host.abandoned.extend,
         adopt_config=adopt_config,
         describe_member=lambda: member,
         collect_loads=list,
         collect_hot_keys=list,
-        collect_crashed=list,
+        collect_new_quarantine=list,
         install_quarantine=lambda entries: None,
         list_shards=list_config_shards,
-        describe_service=lambda service: ownership.Traits(
+        describe_service=lambda service: ownership.ServiceTraits(
             checks_fence=mesh.checks_fence, deadline_s=mesh.deadline_s
         ),
         find_parent=lambda shard: list_shards(mesh)[0],
@@ -328,8 +328,8 @@
 def list_standbys(mesh: Mesh) -> list[Host]:
     state = find_coordinator(mesh).state
     assert state is not None
-    assert state.duty is not None
-    return [mesh.hosts[seat.node] for seat in state.duty.rules.row.standbys]
+    assert state.leadership is not None
+    return [mesh.hosts[seat.node] for seat in state.leadership.rules.row.standbys]
 
 
 def find_plain(mesh: Mesh) -> Host:
@@ -349,7 +349,7 @@
     leading = [
         host
         for host in mesh.hosts.values()
-        if host.state is not None and host.state.duty is not None
+        if host.state is not None and host.state.leadership is not None
     ]
     return max(leading, key=lambda host: host.state.node.term if host.state else 0)
 
--- a/tests/process/test_cell.py
+++ b/tests/process/test_cell.py
@@ -7,8 +7,8 @@
 from ebonyvalve.process import cell, identity, lease
 
 
-def make_seat(name: str, start: int = 1) -> cell.Seat:
-    return cell.Seat(
+def make_seat(name: str, start: int = 1) -> cell.NodeInstance:
+    return cell.NodeInstance(
         node=identity.NodeId(name),
         incarnation=identity.Incarnation(f"{name}{start}"),
         address=identity.Address(f"{name}:1"),
@@ -20,7 +20,7 @@
 )
 NOW = 100.0
 READ = 99.9
-AFTER_CONSENT = lease.count_lease(lease.count_promise(NOW))
+AFTER_CONSENT = lease.compute_lease_end(lease.compute_promise_end(NOW))
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -28,7 +28,7 @@
     """A claimant, and the bound that it has to wait for; ``None`` if it must not claim."""
 
     name: str
-    seat: cell.Seat
+    seat: cell.NodeInstance
     bound_s: float | None
     row: cell.CellRow | None = ROW
     promised_s: float = NOW - 0.1
@@ -37,10 +37,10 @@
 
 CASES = [
     Case(name="no row", seat=make_seat("x"), row=None, bound_s=NOW),
-    Case(name="standby", seat=make_seat("b"), bound_s=lease.count_lease(READ)),
+    Case(name="standby", seat=make_seat("b"), bound_s=lease.compute_lease_end(READ)),
     Case(name="standby in its promise", seat=make_seat("b"), promised_s=NOW + 0.1, bound_s=None),
     Case(name="no role", seat=make_seat("x"), bound_s=None),
-    Case(name="coordinator again", seat=make_seat("a"), bound_s=lease.count_lease(NOW)),
+    Case(name="coordinator again", seat=make_seat("a"), bound_s=lease.compute_lease_end(NOW)),
     Case(name="restarted standby", seat=make_seat("c", 2), bound_s=AFTER_CONSENT),
     Case(
         name="announced anew",
@@ -91,8 +91,8 @@
         now=NOW,
     )
     state, _ = cell.propose_standbys(state, [make_seat("d")])
-    state = cell.note_consent(state, identity.NodeId("d"), NOW)
+    state = cell.record_consent(state, identity.NodeId("d"), NOW)
     assert not cell.may_renew(state, identity.NodeId("a"), NOW)
     for name in "bc":
-        state = cell.note_consent(state, identity.NodeId(name), NOW)
+        state = cell.record_consent(state, identity.NodeId(name), NOW)
     assert cell.may_renew(state, identity.NodeId("a"), NOW)
--- a/tests/process/test_commit.py
+++ b/tests/process/test_commit.py
@@ -76,7 +76,7 @@
 ) -> None:
     """Guards against a writer that takes another's write for its own, or gives up its own."""
     expected, writes, rows, finding = case
-    assert commit.judge(expected, writes, rows) is commit.Finding(finding)
+    assert commit.classify_write(expected, writes, rows) is commit.WriteOutcome(finding)
 
 
 def open_late(memory: platform.Memory, *, also: platform.Writes | None) -> platform.Table:
--- a/tests/process/test_lease.py
+++ b/tests/process/test_lease.py
@@ -61,7 +61,7 @@
     state = renew(make_node(), 1.0, 1.4)
     assert lease.is_live(state, 1.0 + lease.LEASE_S - 0.001)
     assert not lease.is_live(state, 1.0 + lease.LEASE_S)
-    assert lease.count_lease(1.0) > 1.0 + lease.LEASE_S
+    assert lease.compute_lease_end(1.0) > 1.0 + lease.LEASE_S
 
 
 def test_suspended_holding_needs_confirmation() -> None:
@@ -165,8 +165,8 @@
 
 def test_renewal_needs_every_consent() -> None:
     """Guards against a claim by one standby while another one's consent still counts."""
-    consents = {A: lease.count_consent(1.0), C: lease.count_consent(1.1)}
+    consents = {A: lease.compute_consent_end(1.0), C: lease.compute_consent_end(1.1)}
     assert lease.may_renew(consents, [A, C], 1.29)
     assert not lease.may_renew(consents, [A, C], 1.3)
     assert not lease.may_renew({A: 9.0}, [A, C], 1.0)
-    assert lease.count_consent(1.0) < lease.count_promise(1.0)
+    assert lease.compute_consent_end(1.0) < lease.compute_promise_end(1.0)
--- a/tests/process/test_limit.py
+++ b/tests/process/test_limit.py
@@ -20,13 +20,13 @@
 
 def run(
     target: limit.Target, *, now: float, latency_s: float, reply: limit.Reply = limit.Reply.OK
-) -> limit.Wake:
+) -> limit.Dequeued:
     ticket = admit(target, now - latency_s).ticket
     assert ticket is not None
     return limit.release(target, ticket, now=now, latency_s=latency_s, reply=reply)
 
 
-def admit(target: limit.Target, now: float, deadline: float | None = None) -> limit.Answer:
+def admit(target: limit.Target, now: float, deadline: float | None = None) -> limit.Decision:
     return limit.admit(target, now=now, deadline=now + 0.4 if deadline is None else deadline)
 
 
@@ -53,7 +53,7 @@
     for step, reply, seconds in steps:
         now += seconds / 10
         before = len(running)
-        wake = limit.Wake(run=[], expired=[])
+        wake = limit.Dequeued(run=[], expired=[])
         if step == "admit":
             answer = admit(target, now)
             assert (answer.ticket is None) == (answer.admission is limit.Admission.REFUSE)
@@ -65,7 +65,7 @@
         elif step == "withdraw" and waiting:
             limit.withdraw(target, waiting.pop())
         elif step == "cold":
-            limit.turn_cold(target)
+            limit.enter_slow_start(target)
         elif step == "pause":
             limit.pause(target)
         elif step == "resume":
@@ -79,7 +79,7 @@
         assert list(target.waiting) == waiting
         assert len(running) <= max(before, 1, int(target.limit))
         assert len(waiting) <= slots * limit.QUEUE_PER_SLOT
-        assert 1.0 <= target.limit <= max(1.0, slots * limit.CEILING)
+        assert 1.0 <= target.limit <= max(1.0, slots * limit.MAX_LIMIT_PER_SLOT)
 
 
 @pytest.mark.parametrize("slots", [6, 10])
@@ -92,7 +92,7 @@
         run(target, now=now, latency_s=0.01)
         assert limit.read_limit(target) <= 1 + (slots - 1) * now / 20.0 + 1e-9
     assert now == pytest.approx(20.0, abs=0.1)
-    limit.turn_cold(target)
+    limit.enter_slow_start(target)
     run(target, now=now + 1000.0, latency_s=0.01)
     assert limit.read_limit(target) == 1
 
@@ -121,7 +121,7 @@
 
 def repeat_report(target: limit.Target) -> None:
     target.is_reported_cold = True
-    limit.note_report(target, is_cold=True)
+    limit.record_report(target, is_cold=True)
 
 
 def slow_down(target: limit.Target) -> None:
@@ -134,7 +134,7 @@
         (slow_down, limit.Phase.WARMING),
         (delay, limit.Phase.WARMING),
         (shed, limit.Phase.WARMING),
-        (lambda target: limit.note_report(target, is_cold=True), limit.Phase.WARMING),
+        (lambda target: limit.record_report(target, is_cold=True), limit.Phase.WARMING),
         (hiccup, limit.Phase.STEADY),
         # Replies come faster one after the other: more load, not a cold target.
         (lambda target: answer(target, 16, 0.001), limit.Phase.STEADY),
@@ -169,7 +169,7 @@
     assert admit(target, 1.0, deadline=1.0).cause is limit.Cause.DEADLINE
     patient = [admit(target, 1.0, deadline=9.0) for _ in range(3)]
     assert patient[-1].cause is limit.Cause.QUEUE_FULL
-    late = limit.wake(target, 1.2)
+    late = limit.dequeue(target, 1.2)
     assert late.expired == [answers[1].ticket]
 
 
--- a/tests/process/test_straggler.py
+++ b/tests/process/test_straggler.py
@@ -7,19 +7,19 @@
 NODES = [identity.NodeId(f"n{index}") for index in range(4)]
 
 
-def fill(book: straggler.Book, slow: set[int], targets: int = 4) -> None:
+def fill(book: straggler.ServiceLatencies, slow: set[int], targets: int = 4) -> None:
     for _ in range(60):
         for index, node in enumerate(NODES[:targets]):
             straggler.record(book, node, 0.05 if index in slow else 0.005)
 
 
-def list_bypassed(book: straggler.Book) -> list[identity.NodeId]:
+def list_bypassed(book: straggler.ServiceLatencies) -> list[identity.NodeId]:
     return [node for node in NODES if straggler.is_bypassed(book, node)]
 
 
 def test_straggler_is_bypassed_and_recovers() -> None:
     """Guards against a straggler that keeps its share, or is lost for good."""
-    book = straggler.Book()
+    book = straggler.ServiceLatencies()
     fill(book, set())
     assert list_bypassed(book) == []
     fill(book, {2})
@@ -36,7 +36,7 @@
 )
 def test_majority_is_never_bypassed(targets: int, slow: set[int]) -> None:
     """Guards against a slow service whose last targets get all requests."""
-    book = straggler.Book()
+    book = straggler.ServiceLatencies()
     fill(book, set(), targets)
     fill(book, slow, targets)
     assert list_bypassed(book) == []
@@ -44,7 +44,7 @@
 
 def test_cancelled_attempts_show_slowness_only() -> None:
     """Guards against hedges that hide the slow target, or make a cancelled one look fast."""
-    book = straggler.Book()
+    book = straggler.ServiceLatencies()
     fill(book, set())
     straggler.record(book, NODES[0], 0.0001, is_complete=False)
     assert book.targets[NODES[0]].mean_s == pytest.approx(0.005)
@@ -55,7 +55,7 @@
 
 def test_quantiles_cover_recent_replies_only() -> None:
     """Guards against a hedge time that old replies hold up."""
-    book = straggler.Book()
+    book = straggler.ServiceLatencies()
     assert straggler.read_quantile(book, 0.95) is None
     for latency_s in [0.2] * 5000 + [0.01] * 3 * straggler.WINDOW_REPLIES:
         straggler.record(book, NODES[0], latency_s)
@@ -64,18 +64,24 @@
     assert not book.targets
 
 
-def record_all(book: straggler.Book, node: identity.NodeId, latency_s: float, **_: bool) -> None:
+def record_all(
+    book: straggler.ServiceLatencies, node: identity.NodeId, latency_s: float, **_: bool
+) -> None:
     WHOLE_RECORD(book, node, latency_s)
 
 
 def record_complete(
-    book: straggler.Book, node: identity.NodeId, latency_s: float, *, is_complete: bool = True
+    book: straggler.ServiceLatencies,
+    node: identity.NodeId,
+    latency_s: float,
+    *,
+    is_complete: bool = True,
 ) -> None:
     if is_complete:
         WHOLE_RECORD(book, node, latency_s)
 
 
-def record_for_ever(spread: straggler.Spread, latency_s: float) -> None:
+def record_for_ever(spread: straggler.Distribution, latency_s: float) -> None:
     spread.filling.record_value(int(latency_s * 1e6))
     spread.known.clear()
 
--- a/tests/process/test_terms.py
+++ b/tests/process/test_terms.py
@@ -16,7 +16,7 @@
 KEY = identity.KeyId("k")
 NAMES = [identity.NodeId(name) for name in "abc"]
 CELL_ROW = cell.name_cell_row(CELL)
-PAGE = cell.name_page(SHARD)
+PAGE = cell.name_assignment_row(SHARD)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -26,7 +26,7 @@
     source: identity.NodeId
     target: identity.NodeId
     body: message.Message
-    beat: lease.Beat | None = None
+    beat: lease.PendingHeartbeat | None = None
     sent_at_s: float = 0.0
     # Set while a release waits for the requests in flight; delivering it ends the release.
     is_release: bool = False
@@ -57,8 +57,8 @@
     )
 
 
-def make_seat(node: identity.NodeId) -> cell.Seat:
-    return cell.make_seat(make_member(node))
+def make_seat(node: identity.NodeId) -> cell.NodeInstance:
+    return cell.make_instance(make_member(node))
 
 
 def no_wait(service: identity.ServiceId) -> float:
@@ -87,7 +87,7 @@
         )
     nodes[c] = dataclasses.replace(
         nodes[c],
-        holdings={SHARD: lease.Held(fence=identity.Fence(1))},
+        holdings={SHARD: lease.HeldShard(fence=identity.Fence(1))},
         lease_end_s=lease.LEASE_S,
         digest=lease.digest_holdings([message.Holding(shard=SHARD, fence=identity.Fence(1))]),
     )
@@ -95,9 +95,9 @@
     duty = cell.load_rows(duty, {PAGE: rows[PAGE]}, no_wait)
     for name in NAMES:
         duty = collect(duty, nodes[name], 0.0)
-    duty = cell.note_consent(duty, b, 0.0)
+    duty = cell.record_consent(duty, b, 0.0)
     standbys = {name: cell.Standby() for name in NAMES}
-    standbys[b] = cell.Standby(promised_until_s=lease.count_promise(0.0))
+    standbys[b] = cell.Standby(promised_until_s=lease.compute_promise_end(0.0))
     return World(nodes=nodes, standbys=standbys, duties={a: duty}, rows=rows)
 
 
@@ -122,7 +122,7 @@
         holdings=lease.list_holdings(node),
         config_version=node.config_version,
     )
-    return cell.collect(duty, following, lambda shard: SHARD, now)
+    return cell.record_holdings(duty, following, lambda shard: SHARD, now)
 
 
 def find_servers(world: World) -> list[identity.NodeId]:
@@ -253,7 +253,7 @@
         )
         world = send(world, Envelope(source=name, target=node, body=revoke))
     for node, holdings in actions.grants.items():
-        duty = cell.note_grant(duty, node, holdings)
+        duty = cell.record_grant_sent(duty, node, holdings)
         world = dataclasses.replace(put_duty(world, duty), order=world.order + 1)
         grant = message.Grant(
             term=duty.row.term,
@@ -276,7 +276,7 @@
     written = {
         row: (value or b"", world.rows[row][1] + 1) for row, value in transaction.writes.items()
     }
-    duty = cell.apply_changes(cell.count_commit(duty, transaction), transaction.changes)
+    duty = cell.apply_changes(cell.record_commit(duty, transaction), transaction.changes)
     return put_duty(dataclasses.replace(world, rows={**world.rows, **written}), duty)
 
 
@@ -311,9 +311,9 @@
     match envelope.body:
         case message.Heartbeat() as beat if duty is not None:
             duty, _ = cell.expire(duty, no_wait, world.now)
-            duty, answer = cell.hear(duty, beat, world.now)
+            duty, answer = cell.handle_heartbeat(duty, beat, world.now)
             world = put_duty(world, duty)
-            if answer is cell.Answer.RENEW:
+            if answer is cell.HeartbeatAnswer.RENEW:
                 return send(world, reply(body=cell.build_renewal(duty, beat, [])))
         case message.Renewal() as renewal if envelope.beat is not None:
             return put_node(world, lease.apply_renewal(node, envelope.beat, renewal, world.now)[0])
@@ -330,7 +330,7 @@
                 return send(world, reply(body=message.Consent(term=request.term)))
         case message.Consent() as consent if duty is not None:
             if consent.term == duty.row.term:
-                duty = cell.note_consent(duty, envelope.source, envelope.sent_at_s)
+                duty = cell.record_consent(duty, envelope.source, envelope.sent_at_s)
                 return put_duty(world, duty)
         case message.Follow() as request if request.term >= node.term:
             if duty is not None and duty.row.term < request.term:
@@ -353,7 +353,7 @@
         case message.Following() as following if duty is not None:
             is_new = following.member.node not in duty.leases
             if following.term == duty.row.term and is_new:
-                duty = cell.collect(duty, following, lambda shard: SHARD, world.now)
+                duty = cell.record_holdings(duty, following, lambda shard: SHARD, world.now)
                 return put_duty(world, duty)
         case message.Revoke() as request if envelope.is_release:
             held = node.holdings.get(SHARD)
@@ -373,7 +373,7 @@
                 has_memory = not released.holdings
                 return put_duty(
                     world,
-                    cell.note_released(duty, envelope.source, SHARD, has_memory=has_memory),
+                    cell.record_release(duty, envelope.source, SHARD, has_memory=has_memory),
                 )
         case message.Grant() as request:
             node, is_taken = lease.grant(node, request, world.now)
--- a/tests/request/test_handler.py
+++ b/tests/request/test_handler.py
@@ -64,7 +64,7 @@
 def own_shard(node: lease.Node, owner: identity.NodeId, fence: int) -> lease.Node:
     """Give every partition to one node, with a lease that does not lapse."""
     shards = [identity.name_partition(SERVICE, identity.Partition(n)) for n in range(256)]
-    held = lease.Held(fence=identity.Fence(fence))
+    held = lease.HeldShard(fence=identity.Fence(fence))
     routes = {
         shard: message.Route(shard=shard, owner=owner, fence=identity.Fence(fence))
         for shard in shards
--- a/tests/request/test_origin.py
+++ b/tests/request/test_origin.py
@@ -46,7 +46,7 @@
         draw=lambda: 0.5,
         gate=gate.Gate(slots=1, cold_rate=0.0),
         grantor=grant.start(now=0.0, most_hold_s=4.0),
-        budget=budget.Allowance(share=0.0, burst=level),
+        budget=budget.ServiceBudgets(share=0.0, burst=level),
         heat=heat.Heat(at=0.0),
     )
     for name in NAMES:
@@ -181,7 +181,7 @@
     repeats = 0
     for number in range(1000):
         service = ORDERS if number % 10 == 0 else identity.ServiceId("lookup")
-        budget.earn(budget.find(entry.node.budget, service))
+        budget.credit(budget.find_budget(entry.node.budget, service))
         if service == ORDERS:
             tried: list[identity.NodeId] = []
             await origin._try_all(entry, build_call(is_repeatable=True), NO_CALLER, tried)
@@ -246,9 +246,9 @@
 
 async def test_changed_settings_reach_the_repeats_of_all_services() -> None:
     """Guards against buckets that keep the burst of a smaller mesh or the share of old settings."""
-    repeats = budget.Allowance(share=0.1, burst=8.0)
-    before = budget.find(repeats, ORDERS)
-    budget.divide(repeats, 16.0, 4)
+    repeats = budget.ServiceBudgets(share=0.1, burst=8.0)
+    before = budget.find_budget(repeats, ORDERS)
+    budget.divide_burst(repeats, 16.0, 4)
     budget.set_share(repeats, 0.5)
-    after = budget.find(repeats, identity.ServiceId("lookup"))
+    after = budget.find_budget(repeats, identity.ServiceId("lookup"))
     assert before == after == budget.Budget(share=0.5, burst=2.0, level=2.0)
--- a/tests/request/test_quarantine.py
+++ b/tests/request/test_quarantine.py
@@ -45,7 +45,7 @@
     """Guards against the crashing request being the one that was left out."""
     state = ward.Quarantine()
     names = [identity.Fingerprint(str(index)) for index in range(10)]
-    ward.note_crash(state, names, 100.0)
+    ward.record_crash(state, names, 100.0)
     assert all(ward.is_quarantined(state, name, 159.9) for name in names)
     assert not any(ward.is_quarantined(state, name, 160.0) for name in names)
     ward.forget(state, 190.0)
@@ -55,7 +55,7 @@
 def test_entries_end_although_nodes_exchange_them() -> None:
     """Guards against an entry that two nodes keep alive by reporting it to each other."""
     states = [ward.Quarantine(), ward.Quarantine()]
-    ward.note_crash(states[0], [ONE], 0.0)
+    ward.record_crash(states[0], [ONE], 0.0)
     now = 0.0
     while now < 120.0:
         for sender, receiver in (states, states[::-1]):
@@ -64,22 +64,22 @@
             ward.import_entries(receiver, entries, now)
             ward.forget(receiver, now)
         assert now < 61.0 or not any(ward.is_quarantined(state, ONE, now) for state in states)
-    ward.note_crash(states[0], [ONE], now)
-    ward.import_entries(states[1], ward.export_new(states[0], now), now)
+    ward.record_crash(states[0], [ONE], now)
+    ward.import_entries(states[1], ward.export_unreported(states[0], now), now)
     assert ward.is_quarantined(states[1], ONE, now + 59.0)
 
 
 def test_lost_heartbeat_reports_again() -> None:
     """Guards against an entry that other nodes never learn of, and one that is too long."""
     state = ward.Quarantine()
-    ward.note_crash(state, [ONE], 0.0)
-    assert ward.export_new(state, 1.0) == ward.export_new(state, 1.0) != []
-    ward.confirm(state, ward.export_new(state, 1.0))
-    assert ward.export_new(state, 1.0) == []
+    ward.record_crash(state, [ONE], 0.0)
+    assert ward.export_unreported(state, 1.0) == ward.export_unreported(state, 1.0) != []
+    ward.confirm(state, ward.export_unreported(state, 1.0))
+    assert ward.export_unreported(state, 1.0) == []
     other = ward.Quarantine()
     ward.import_entries(other, [message.Quarantined(fingerprint=ONE, remaining_s=1e9)], 0.0)
-    assert ward.export_new(other, 1.0) == []
-    assert not ward.is_quarantined(other, ONE, ward.PERIOD_S)
+    assert ward.export_unreported(other, 1.0) == []
+    assert not ward.is_quarantined(other, ONE, ward.QUARANTINE_S)
 
 
 def test_quarantine_is_bounded() -> None:
@@ -87,7 +87,7 @@
     state = ward.Quarantine()
     names = [identity.Fingerprint(str(index)) for index in range(ward.CAPACITY + 3)]
     for index, name in enumerate(names):
-        ward.note_crash(state, [name], index / 1000)
+        ward.record_crash(state, [name], index / 1000)
     assert len(state.until) == ward.CAPACITY >= len(state.unreported)
     assert not ward.is_quarantined(state, names[2], 9.0)
     assert ward.is_quarantined(state, names[3], 9.0)
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize(
     ("name", "value", "check"),
     [
-        ("PERIOD_S", 30.0, test_every_request_in_flight_is_quarantined_for_a_minute),
+        ("QUARANTINE_S", 30.0, test_every_request_in_flight_is_quarantined_for_a_minute),
         ("import_entries", import_longest, test_entries_end_although_nodes_exchange_them),
         ("import_entries", import_longest, test_lost_heartbeat_reports_again),
         ("confirm", lambda state, reported: None, test_lost_heartbeat_reports_again),
--- a/tests/request/test_retry.py
+++ b/tests/request/test_retry.py
@@ -82,7 +82,7 @@
         if is_spent:
             spent += budget.spend(bucket)
         else:
-            budget.earn(bucket)
+            budget.credit(bucket)
             earned += 1
         assert spent <= budget.BURST + 0.1 * earned + 1e-6
 
--- a/tests/request/test_token.py
+++ b/tests/request/test_token.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from ebonyvalve.process import identity, memory, message
+from ebonyvalve.process import identity, message, token_memory
 from ebonyvalve.request import outcome, token
 
 SERVICE = identity.ServiceId("inventario")
@@ -50,16 +50,16 @@
         self.lag_s = 0.0
         self.life_s = LIFE_S
         self.fence = 1
-        self.quotas = [memory.Quota(limit=6) for _ in CLOCKS]
+        self.quotas = [token_memory.Quota(limit=6) for _ in CLOCKS]
         self.place = {PARTITION: 0}
         self.states = {PARTITION: self.create(PARTITION, 0)}
-        self.former: list[tuple[int, memory.Memory]] = []
+        self.former: list[tuple[int, token_memory.Memory]] = []
         self.issued: list[Issued] = []
-        self.running: list[tuple[memory.Memory, int, Issued]] = []
+        self.running: list[tuple[token_memory.Memory, int, Issued]] = []
 
-    def create(self, shard: identity.ShardId, node: int) -> memory.Memory:
+    def create(self, shard: identity.ShardId, node: int) -> token_memory.Memory:
         self.fence += 1
-        return memory.create(
+        return token_memory.create(
             shard=shard,
             fence=identity.Fence(self.fence),
             life_s=self.life_s,
@@ -92,7 +92,7 @@
             assert one.runs == 1, "a token ran twice"
             # A carried clock lags by the time that each handover took, and so does the memory.
             age_s = self.now - one.at - self.lag_s
-            assert age_s < self.life_s + memory.TICK_S, "an expired token ran"
+            assert age_s < self.life_s + token_memory.CLOCK_TOLERANCE_S, "an expired token ran"
             if is_quick:
                 token.finish(state, one.text, ANSWERED, now=self.read(node))
             else:
@@ -129,7 +129,7 @@
     def pass_time(self, seconds: float, life_s: float, is_resent: bool) -> None:
         self.now += seconds
         for shard, state in self.states.items():
-            memory.forget(state, self.read(self.place[shard]))
+            token_memory.forget(state, self.read(self.place[shard]))
         self.life_s = life_s
         for state in self.states.values():
             state.life_s = life_s
@@ -145,20 +145,20 @@
     def move(self, node: int, transit_s: float, is_own: bool, grants: int) -> None:
         shard = OWN if is_own and OWN in self.states else PARTITION
         state, before = self.states[shard], self.place[shard]
-        moved = memory.export_memory(state, self.read(before))
+        moved = token_memory.export_memory(state, self.read(before))
         self.former.append((before, state))
         self.now += transit_s
         self.lag_s += transit_s
         after = self.create(shard, node)
         for _ in range(grants):
-            if not memory.import_memory(after, moved, self.read(node)):
+            if not token_memory.import_memory(after, moved, self.read(node)):
                 self.note_loss(shard)
         self.states[shard], self.place[shard] = after, node
 
     @stateful.rule(node=strategies.sampled_from([0, 1, 2]), is_own=strategies.booleans())
     def lose(self, node: int, is_own: bool) -> None:
         shard = OWN if is_own and OWN in self.states else PARTITION
-        memory.drop(self.states[shard])
+        token_memory.drop(self.states[shard])
         self.states[shard], self.place[shard] = self.create(shard, node), node
         self.note_loss(shard)
 
@@ -172,7 +172,7 @@
     def split(self) -> None:
         self.fence += 1
         node = self.place[PARTITION]
-        self.states[OWN] = memory.split(
+        self.states[OWN] = token_memory.split(
             self.states[PARTITION],
             key=KEYS[0],
             shard=OWN,
@@ -193,11 +193,11 @@
     def merge(self) -> None:
         self.move(self.place[PARTITION], 0.0, True, 1)
         state, node = self.states.pop(OWN), self.place.pop(OWN)
-        moved = memory.export_memory(state, self.read(node))
+        moved = token_memory.export_memory(state, self.read(node))
         self.former.append((node, state))
         self.now += 0.005
         self.lag_s += 0.005
-        if not memory.import_memory(self.states[PARTITION], moved, self.read(node)):
+        if not token_memory.import_memory(self.states[PARTITION], moved, self.read(node)):
             for one in self.issued:
                 one.is_lost = one.is_lost or one.key == KEYS[0]
 
@@ -207,13 +207,13 @@
             held = [self.states[shard] for shard in self.states if self.place[shard] == node]
             held += [state for place, state in self.former if place == node]
             assert quota.count == sum(len(state.used) + len(state.running) for state in held)
-            assert quota.count <= memory.IMPORT_FACTOR * quota.limit
+            assert quota.count <= token_memory.MAX_IMPORT_FACTOR * quota.limit
             if quota.count > quota.limit // 2:
                 self.drop_former()
 
     def drop_former(self) -> None:
         for _, state in self.former:
-            memory.drop(state)
+            token_memory.drop(state)
 
 
 def test_token_runs_at_most_once() -> None:
@@ -222,16 +222,18 @@
     stateful.run_state_machine_as_test(Tokens, settings=explained)
 
 
-def create_state(limit: int = 4) -> memory.Memory:
-    return memory.create(
+def create_state(limit: int = 4) -> token_memory.Memory:
+    return token_memory.create(
         shard=PARTITION,
         fence=identity.Fence(3),
         life_s=LIFE_S,
-        quota=memory.Quota(limit=limit),
+        quota=token_memory.Quota(limit=limit),
     )
 
 
-def issue(state: memory.Memory, now: float, nonce: int = 0, key: identity.KeyId = KEYS[0]) -> str:
+def issue(
+    state: token_memory.Memory, now: float, nonce: int = 0, key: identity.KeyId = KEYS[0]
+) -> str:
     return token.issue(state, key=key, now=now, random_bytes=nonce.to_bytes(12, "big"))
 
 
@@ -251,7 +253,10 @@
         (lambda text: replace(text, issued_ms=0), token.Standing.EXPIRED),
         (lambda text: replace(text, nonce=b""), token.Standing.MALFORMED),
         (lambda text: replace(text, fence=identity.Fence(2)), token.Standing.EPOCH_LOST),
-        (lambda text: replace(text, key=memory.tag_key(KEYS[1])), token.Standing.WRONG_SHARD),
+        (
+            lambda text: replace(text, key=token_memory.digest_key(KEYS[1])),
+            token.Standing.WRONG_SHARD,
+        ),
         (lambda text: replace(text, shard="paquetes/7"), token.Standing.WRONG_SHARD),
     ],
 )
@@ -276,7 +281,7 @@
     text = issue(state, 100.0)
     assert token.begin(state, text, key=KEYS[0], now=101.0).standing is token.Standing.FRESH
     assert token.begin(state, text, key=KEYS[0], now=102.0).standing is token.Standing.IN_PROGRESS
-    own = memory.split(state, key=KEYS[0], shard=OWN, fence=identity.Fence(4), now=102.0)
+    own = token_memory.split(state, key=KEYS[0], shard=OWN, fence=identity.Fence(4), now=102.0)
     token.finish(state, text, ANSWERED, now=103.0)
     found = token.begin(own, text, key=KEYS[0], now=104.0)
     assert found.standing is token.Standing.USED
@@ -302,20 +307,20 @@
 def test_issuer_is_found_only_in_tokens_of_nodes() -> None:
     """Guards against a token without a key that reaches a node which cannot check it."""
     node = identity.NodeId("n-3")
-    state = memory.create(
-        shard=memory.name_node(SERVICE, node),
-        fence=memory.fence_incarnation(identity.Incarnation("first")),
+    state = token_memory.create(
+        shard=token_memory.name_node_shard(SERVICE, node),
+        fence=token_memory.derive_fence(identity.Incarnation("first")),
         life_s=LIFE_S,
-        quota=memory.Quota(),
+        quota=token_memory.Quota(),
     )
     text = token.issue(state, key=None, now=5.0, random_bytes=bytes(12))
     assert token.find_issuer(text) == node
     assert token.find_issuer(issue(create_state(), 5.0)) is None
-    again = dataclasses.replace(state, reaches={}, fence=identity.Fence(1))
+    again = dataclasses.replace(state, coverage={}, fence=identity.Fence(1))
     assert token.check(again, text, key=None, now=6.0).standing is token.Standing.EPOCH_LOST
 
 
-def forget_horizon(memory_: memory.Memory, now: float) -> int:
+def forget_horizon(memory_: token_memory.Memory, now: float) -> int:
     past = [name for name, used in memory_.used.items() if used.used_at <= now - memory_.life_s]
     for name in past:
         del memory_.used[name]
@@ -323,39 +328,43 @@
     return len(past)
 
 
-def split_without_departure(state: memory.Memory, **details: object) -> memory.Memory:
+def split_without_departure(state: token_memory.Memory, **details: object) -> token_memory.Memory:
     own = WHOLE_SPLIT(state, **details)  # type: ignore[arg-type]
-    for reach in state.reaches.values():
-        reach.departed.clear()
+    for reach in state.coverage.values():
+        reach.split_keys.clear()
     return own
 
 
-def export_open(state: memory.Memory, now: float) -> message.TokenMemory:
+def export_open(state: token_memory.Memory, now: float) -> message.TokenMemory:
     moved = WHOLE_EXPORT(state, now)
     state.is_closed = False
     return moved
 
 
-def export_used(state: memory.Memory, now: float) -> message.TokenMemory:
+def export_used(state: token_memory.Memory, now: float) -> message.TokenMemory:
     state.running.clear()
     return WHOLE_EXPORT(state, now)
 
 
-def import_without_clock(state: memory.Memory, moved: message.TokenMemory, now: float) -> bool:
+def import_without_clock(
+    state: token_memory.Memory, moved: message.TokenMemory, now: float
+) -> bool:
     is_done = WHOLE_IMPORT(state, moved, now)
-    for reach in state.reaches.values():
+    for reach in state.coverage.values():
         reach.offset_s = 0.0
     return is_done
 
 
-def find_any_reach(state: memory.Memory, *place: object, **token_: object) -> memory.Reach:
-    return WHOLE_FIND(state, *place, **token_) or memory.Reach()  # type: ignore[arg-type]
+def find_any_reach(
+    state: token_memory.Memory, *place: object, **token_: object
+) -> token_memory.EpochCoverage:
+    return WHOLE_FIND(state, *place, **token_) or token_memory.EpochCoverage()  # type: ignore[arg-type]
 
 
-WHOLE_SPLIT = memory.split
-WHOLE_EXPORT = memory.export_memory
-WHOLE_IMPORT = memory.import_memory
-WHOLE_FIND = memory.find_reach
+WHOLE_SPLIT = token_memory.split
+WHOLE_EXPORT = token_memory.export_memory
+WHOLE_IMPORT = token_memory.import_memory
+WHOLE_FIND = token_memory.find_coverage
 
 
 @pytest.mark.parametrize(
@@ -366,7 +375,7 @@
         ("export_memory", export_open),
         ("export_memory", export_used),
         ("import_memory", import_without_clock),
-        ("find_reach", find_any_reach),
+        ("find_coverage", find_any_reach),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
@@ -374,6 +383,6 @@
     monkeypatch: pytest.MonkeyPatch, name: str, broken: collections.abc.Callable[..., object]
 ) -> None:
     """Guards against a state machine that no longer reaches the faults it was written for."""
-    monkeypatch.setattr(memory, name, broken)
+    monkeypatch.setattr(token_memory, name, broken)
     with pytest.raises(AssertionError):
         stateful.run_state_machine_as_test(Tokens, settings=SETTINGS)
--- a/tests/version/worlds.py
+++ b/tests/version/worlds.py
@@ -66,8 +66,8 @@
             world.owners[name] = None
 
 
-def view(world: World) -> assignment.View:
-    return assignment.View(
+def view(world: World) -> assignment.PlacementView:
+    return assignment.PlacementView(
         members=dict(world.members),
         owners=dict(world.owners),
         loads=dict(world.loads),
