--- a/src/ebonyvalve/platform/admin.py
+++ b/src/ebonyvalve/platform/admin.py
@@ -6,7 +6,7 @@
 
 from ebonyvalve.process import decoding, http, identity, survey
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.observation import tally
+from ebonyvalve.process.observation import counters
 from ebonyvalve.request import explanation, origin
 
 METRICS_PATH = "/metrics"
@@ -22,8 +22,8 @@
     """
     path, _, query = target.partition("?")
     if path == METRICS_PATH:
-        text = tally.render(entry.node.counted, node_module.list_gauges(entry.node))
-        return http.Reply(status=200, body=text, content_type=tally.CONTENT_TYPE)
+        text = counters.render(entry.node.request_counters, node_module.list_gauges(entry.node))
+        return http.Reply(status=200, body=text, content_type=counters.CONTENT_TYPE)
     if path == STATUS_PATH:
         return http.Reply(status=200, body=survey.encode(survey.take(entry.node)))
     if path == EXPLAIN_PATH:
@@ -35,7 +35,7 @@
     """Answer for a request of which ``host``, ``path`` and perhaps ``key`` are given."""
     params = dict(urllib.parse.parse_qsl(query))
     key = params.get("key", "")
-    key_slot = decoding.read_count(key, most=identity.LAST_SLOT)
+    key_slot = decoding.read_count(key, max_value=identity.LAST_SLOT)
     if not params.get("host") or not params.get("path") or (key and key_slot is None):
         return http.Reply(status=400, body=b"{}")
     lines = explanation.explain(entry, params["host"].lower(), params["path"], key_slot)
--- a/src/ebonyvalve/platform/announcement.py
+++ b/src/ebonyvalve/platform/announcement.py
@@ -15,9 +15,9 @@
 MAX_COLD_S = 86_400.0
 BornMs = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_BORN_MS)]
 ColdSeconds = typing.Annotated[float, msgspec.Meta(ge=-MAX_COLD_S, le=MAX_COLD_S)]
-Slots = typing.Annotated[int, msgspec.Meta(ge=0, le=decoding.MOST_SLOTS)]
+Slots = typing.Annotated[int, msgspec.Meta(ge=0, le=decoding.MAX_SLOTS)]
 # Goes into the service's ledger, whose row has a bounded size.
-Handover = typing.Annotated[str, msgspec.Meta(max_length=decoding.MOST_NAME_BYTES)]
+Handover = typing.Annotated[str, msgspec.Meta(max_length=decoding.MAX_NAME_BYTES)]
 STATES = {"ready": member.TargetState.READY, "draining": member.TargetState.LEAVING}
 
 
@@ -44,8 +44,8 @@
     info: Info
     status: Status
     born: BornMs = 0
-    holds: list[tuple[decoding.Key, decoding.Key, decoding.Count]] = []
-    released: list[tuple[decoding.Key, decoding.Key, Handover]] = []
+    holds: list[tuple[decoding.KeySlot, decoding.KeySlot, decoding.Count]] = []
+    released: list[tuple[decoding.KeySlot, decoding.KeySlot, Handover]] = []
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -68,7 +68,7 @@
     :param body: the report.
     """
     if not decoding.is_name(name):
-        return f"report of {name[: decoding.MOST_CAUSE]!r}: this is no name"
+        return f"report of {name[: decoding.MAX_CAUSE_CHARS]!r}: this is no name"
     decoded = decoding.decode(body, Document, find_fault)
     if not isinstance(decoded, result.Success):
         return f'report of "{name}": {decoded.failure()}'
--- a/src/ebonyvalve/platform/configuration.py
+++ b/src/ebonyvalve/platform/configuration.py
@@ -14,7 +14,7 @@
 VERSION_PATTERN = re.compile(r"[0-9A-Fa-f]{1,8}\Z")
 MAX_DURATION_S = 1e6
 Duration = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_DURATION_S)]
-Weight = typing.Annotated[float, msgspec.Meta(ge=-decoding.MOST_LOAD, le=decoding.MOST_LOAD)]
+Weight = typing.Annotated[float, msgspec.Meta(ge=-decoding.MAX_LOAD, le=decoding.MAX_LOAD)]
 ROUTE_TYPES = {
     "idempotent": traffic.Repeatability.IDEMPOTENT,
     "download": traffic.Repeatability.IDEMPOTENT,
@@ -105,8 +105,8 @@
                 services.append(_decode_service(name, resource.spec))
             elif resource.res_type == "limits":
                 limits = _decode_limits(resource.spec)
-        except decoding.UNREADABLE as exc:
-            problems.append(f'{resource.res_type} "{name}": {decoding.describe(exc)}')
+        except decoding.DECODE_ERRORS as exc:
+            problems.append(f'{resource.res_type} "{name}": {decoding.describe_error(exc)}')
     accepted = traffic.build(version=version, routes=routes, services=services, limits=limits)
     return problems or traffic.check(accepted) or accepted
 
--- a/src/ebonyvalve/platform/daemon.py
+++ b/src/ebonyvalve/platform/daemon.py
@@ -19,8 +19,8 @@
 from ebonyvalve.process import budget, decision, http, identity, network, signals, timer
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process import place as place_module
-from ebonyvalve.process.keyspace import grant, presence, records, steward, tenure
-from ebonyvalve.process.load import gate, heat, link
+from ebonyvalve.process.keyspace import grant, reconciliation, records, registration, renewal
+from ebonyvalve.process.load import admission, link, rates
 from ebonyvalve.process.observation import output
 from ebonyvalve.request import (
     attempt,
@@ -59,7 +59,7 @@
     """Everything that the process runs."""
 
     node: node_module.Node
-    reconciler: records.Steward
+    reconciler: records.Reconciler
     origin: origin.Origin
     callers: front.Front
     peers: front.Front
@@ -99,9 +99,9 @@
     async with signals.open_receiver() as received, trio.open_nursery() as nursery:
         for task in (
             functools.partial(records.follow_mesh, daemon.reconciler),
-            functools.partial(presence.announce, daemon.reconciler),
-            functools.partial(tenure.keep_lease, daemon.reconciler),
-            functools.partial(steward.tend, daemon.reconciler),
+            functools.partial(registration.announce, daemon.reconciler),
+            functools.partial(renewal.keep_lease, daemon.reconciler),
+            functools.partial(reconciliation.reconcile, daemon.reconciler),
             functools.partial(records.push_ledger, daemon.reconciler),
             functools.partial(
                 operator.follow, daemon.node, daemon.origin.current, daemon.reconciler.store
@@ -151,18 +151,22 @@
         wakeups=clock,
         now=now,
         draw=random.random,
-        gate=gate.Gate(slots=1, cold_rate=0.0, uplink=link.Link(rate=place.link_rate)),
-        grantor=grant.start(now=now(), most_hold_s=grant.choose_hold(place.heartbeat_s)),
+        admission=admission.Controller(
+            slots=1, cold_rate=0.0, uplink=link.Link(rate=place.link_rate)
+        ),
+        grantor=grant.start(now=now(), max_hold_s=grant.choose_hold(place.heartbeat_s)),
         budget=budget.ServiceBudgets(share=budget.compute_share(place.retries.ratio)),
-        heat=heat.Heat(at=now()),
+        key_rates=rates.KeyRates(updated_at=now()),
     )
     client = store.Client(
         address=place.store_address,
         connect=sockets.connect,
         now=now,
-        on_recovery=functools.partial(node_module.look_again, node),
+        on_recovery=functools.partial(node_module.restart_follows, node),
+    )
+    reconciler = records.Reconciler(
+        node=node, store=store.open_store(client), connect=sockets.connect
     )
-    reconciler = records.Steward(node=node, store=store.open_store(client), connect=sockets.connect)
     target_pool = pool.Pool(connect=sockets.connect, now=now)
     local = delivery.Delivery(
         node=node,
@@ -221,7 +225,7 @@
 
 async def handle_peer(
     entry: origin.Origin,
-    reconciler: records.Steward,
+    reconciler: records.Reconciler,
     call: exchange.Call,
     caller: exchange.Caller,
 ) -> outcome.Outcome:
@@ -247,7 +251,10 @@
 
 
 async def handle_message(
-    entry: origin.Origin, reconciler: records.Steward, call: exchange.Call, caller: exchange.Caller
+    entry: origin.Origin,
+    reconciler: records.Reconciler,
+    call: exchange.Call,
+    caller: exchange.Caller,
 ) -> outcome.Outcome | None:
     """Answer a message of another node, or return ``None`` if it is none.
 
@@ -267,7 +274,10 @@
 
 
 async def handle_push(
-    entry: origin.Origin, reconciler: records.Steward, call: exchange.Call, caller: exchange.Caller
+    entry: origin.Origin,
+    reconciler: records.Reconciler,
+    call: exchange.Call,
+    caller: exchange.Caller,
 ) -> outcome.Outcome:
     """Take what another node tells: a ledger, or what its target was running when it crashed.
 
@@ -290,7 +300,7 @@
     if call.path == crash.CRASH_PATH:
         is_applied = crash.receive_push(entry.delivery.crash_detector, bytes(body))
     else:
-        is_applied = records.take_push(reconciler, call.path, bytes(body))
+        is_applied = records.apply_push(reconciler, call.path, bytes(body))
     return await acknowledge(caller, 204 if is_applied else 400)
 
 
--- a/src/ebonyvalve/platform/gossip.py
+++ b/src/ebonyvalve/platform/gossip.py
@@ -56,7 +56,7 @@
     if known_version is None:
         return None
     # A row that was removed before is only noticed by its absence.
-    is_whole = known_version < node.operator_since
+    is_whole = known_version < node.operator_removals_since
     rows = [
         GossipRow(key=row.name.key, version=row.version, is_removed=row.is_removed, value=row.value)
         for row in node.operator_rows.values()
@@ -73,7 +73,7 @@
     :param current: gets the configuration.
     :param body: the answer to the question of :func:`tell`.
     """
-    decoded = decoding.decode_packed(body, GossipUpdate, most=MAX_BYTES)
+    decoded = decoding.decode_compressed(body, GossipUpdate, max_bytes=MAX_BYTES)
     if not isinstance(decoded, result.Success):
         decision.record(log, logging.ERROR, "news-unreadable", cause=decoded.failure())
         return False
@@ -102,12 +102,12 @@
     :param connect: opens a connection.
     """
     while True:
-        advertised = node.named
-        if not node_module.is_behind(node):
+        advertised = node.advertised
+        if not node_module.is_operator_stale(node):
             await advertised.wait()
             continue
         await operator.await_update(node)
-        if node_module.is_behind(node):
+        if node_module.is_operator_stale(node):
             await _pull_from_peers(node, current, connect)
 
 
@@ -124,7 +124,7 @@
     async with trio.open_nursery() as nursery:
 
         async def watch() -> None:
-            while node_module.is_behind(node):
+            while node_module.is_operator_stale(node):
                 await node.changed.wait()
             nursery.cancel_scope.cancel()
 
@@ -132,9 +132,9 @@
             asked.add(teller)
             await _pull_from(node, current, connect, teller)
             asked.discard(teller)
-            if node_module.is_behind(node) and not asked:
+            if node_module.is_operator_stale(node) and not asked:
                 # No node could tell, and the store's answer may be lost.
-                node_module.look_for_orders(node)
+                node_module.restart_operator_follow(node)
 
         nursery.start_soon(watch)
         while True:
@@ -142,10 +142,10 @@
             if source is not None and source not in asked and len(asked) < MAX_CONCURRENT_PULLS:
                 nursery.start_soon(ask, source)
             await node_module.pause(node, PULL_INTERVAL_S * (1 + node.draw()))
-            node.named_by = None
+            node.advertised_by = None
     if node.operator_version > before:
         # The store need not go on with what has come.
-        node_module.look_for_orders(node)
+        node_module.restart_operator_follow(node)
 
 
 def choose_source(node: node_module.Node) -> identity.NodeId | None:
@@ -153,8 +153,8 @@
 
     :param node: the node.
     """
-    if node.named_by in node.members:
-        return node.named_by
+    if node.advertised_by in node.members:
+        return node.advertised_by
     others = sorted(name for name in node.members if name != node.place.node)
     return others[int(node.draw() * len(others)) % len(others)] if others else None
 
--- a/src/ebonyvalve/platform/operator.py
+++ b/src/ebonyvalve/platform/operator.py
@@ -37,16 +37,16 @@
     """
     version = 0
     while True:
-        is_whole = not node.is_operator_known
-        read: table.Rows | table.Trouble | None
+        is_whole = not node.is_operator_state_known
+        read: table.Rows | table.Failure | None
         if is_whole:
             read = await store.read(OPERATOR_TABLE)
         else:
             # Asked without waiting, the store says whether it has what another node has named.
-            wait_s = 0.0 if node_module.is_behind(node) else FOLLOW_WAIT_S
-            read = await follow_module.interrupt(
+            wait_s = 0.0 if node_module.is_operator_stale(node) else FOLLOW_WAIT_S
+            read = await follow_module.run_interruptible(
                 functools.partial(store.follow, OPERATOR_TABLE, version, wait_s),
-                node.operator_recheck.wait,
+                node.operator_follow_restart.wait,
             )
             if read is None:
                 # What other nodes have told meanwhile need not be read.
@@ -55,14 +55,14 @@
         if isinstance(read, table.Rows):
             apply(node, current, read, is_whole=is_whole)
             version = max(version, read.version)
-            node.operator_reached = max(node.operator_reached, version)
+            node.operator_read_version = max(node.operator_read_version, version)
             # A version beyond what the store has hides all that are named after it.
-            node.named_version = min(node.named_version, version)
-            node.is_operator_known = node.config is not None
-            if is_whole and not node.is_operator_known:
+            node.advertised_version = min(node.advertised_version, version)
+            node.is_operator_state_known = node.config is not None
+            if is_whole and not node.is_operator_state_known:
                 await node_module.pause(node, RETRY_S)
-        elif read is table.Trouble.HISTORY_GONE:
-            node.is_operator_known = False
+        elif read is table.Failure.HISTORY_GONE:
+            node.is_operator_state_known = False
         else:
             await node_module.pause(node, RETRY_S * (1 + node.draw()))
 
@@ -73,7 +73,7 @@
     :param node: the node.
     """
     with trio.move_on_after(PROPAGATION_S):
-        while node_module.is_behind(node):
+        while node_module.is_operator_stale(node):
             await node.changed.wait()
 
 
@@ -106,9 +106,9 @@
         for key, row in list(known.items()):
             if key not in names and row.version <= read.version:
                 del known[key]
-        node.operator_whole = max(node.operator_whole, read.version)
+        node.operator_snapshot_version = max(node.operator_snapshot_version, read.version)
         # When the missing rows were removed is not known.
-        node.operator_since = node.operator_version
+        node.operator_removals_since = node.operator_version
     for row in fresh:
         if row.name.key == CONFIG_KEY and not row.is_removed:
             _apply_config(node, current, row)
@@ -116,13 +116,13 @@
     if zones != node.evacuated:
         decision.record(log, logging.INFO, "evacuation", zones=",".join(sorted(zones)))
         node_module.set_evacuated(node, zones)
-    node_module.pulse(node)
+    node_module.notify_changed(node)
 
 
 def _find_known_version(node: node_module.Node, key: str) -> int:
     """Return the version of a known row, or of the whole answer that lacked it."""
     row = node.operator_rows.get(key)
-    return node.operator_whole if row is None else row.version
+    return node.operator_snapshot_version if row is None else row.version
 
 
 def list_evacuated(rows: collections.abc.Iterable[table.Row]) -> frozenset[identity.ZoneId]:
@@ -140,8 +140,8 @@
 def _apply_config(node: node_module.Node, current: traffic.CurrentTraffic, row: table.Row) -> None:
     decoded = configuration.decode(row.value)
     if isinstance(decoded, list):
-        is_logged = node.refused == tuple(decoded)
-        node.refused = tuple(decoded)
+        is_logged = node.refusal_reasons == tuple(decoded)
+        node.refusal_reasons = tuple(decoded)
         if not is_logged:
             reasons = "; ".join(decoded)[:MAX_REASONS_LENGTH]
             decision.record(log, logging.ERROR, "configuration-refused", reasons=reasons)
--- a/src/ebonyvalve/platform/reload.py
+++ b/src/ebonyvalve/platform/reload.py
@@ -77,7 +77,7 @@
             log, logging.WARNING, "settings-wait-for-restart", fields=",".join(deferred)
         )
     node.place = dataclasses.replace(new, **{name: getattr(old, name) for name in RESTART_FIELDS})
-    node.gate.uplink.rate = node.place.link_rate
+    node.admission.uplink.rate = node.place.link_rate
     budget.set_share(node.budget, budget.compute_share(node.place.retries.ratio))
     budget.divide_burst(node.budget, node.place.retries.slack, len(node.members))
     if client.address != node.place.store_address:
--- a/src/ebonyvalve/platform/reports.py
+++ b/src/ebonyvalve/platform/reports.py
@@ -6,14 +6,14 @@
 from ebonyvalve.platform import announcement
 from ebonyvalve.process import decision, http, network
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.keyspace import grant, records, steward
+from ebonyvalve.process.keyspace import grant, reconciliation, records
 
 log = logging.getLogger(__name__)
 
 REPORT_BYTES = 65_536
 
 
-def build_report_server(reconciler: records.Steward) -> network.Serve:
+def build_report_server(reconciler: records.Reconciler) -> network.Serve:
     """Return what takes the status reports of the target beside this node.
 
     :param keeper: what the node has in the table.
@@ -25,8 +25,8 @@
             refusal = apply_report(reconciler, name, request.body)
             if refusal is not None:
                 return refusal
-            await steward.await_keys(reconciler)
-            given = steward.answer_report(reconciler)
+            await reconciliation.await_keys(reconciler)
+            given = reconciliation.answer_report(reconciler)
             return http.Reply(status=200, body=announcement.encode(given))
         if request.method == "DELETE":
             return apply_leave(reconciler, name)
@@ -35,7 +35,7 @@
     return functools.partial(http.serve, respond, most_bytes=REPORT_BYTES)
 
 
-def apply_report(reconciler: records.Steward, name: str, body: bytes) -> http.Reply | None:
+def apply_report(reconciler: records.Reconciler, name: str, body: bytes) -> http.Reply | None:
     """Take a status report; return why it is refused, if it is.
 
     :param keeper: what the node has in the table.
@@ -58,12 +58,12 @@
             log, logging.INFO, "report-late", target=name, sequence=decoded.report.sequence
         )
         return http.Reply(status=409, body=b"{}")
-    grant.take_report(node.grantor, decoded.report)
+    grant.record_report(node.grantor, decoded.report)
     node_module.set_target(
         node,
         node_module.Target(
             lifetime=decoded.report.lifetime,
-            born_ms=decoded.born_ms,
+            started_at_ms=decoded.born_ms,
             slots=decoded.slots,
             state=decoded.state,
             reported_at=node.now(),
@@ -84,10 +84,10 @@
     """
     if decoded.report.lifetime == known.lifetime:
         return decoded.report.sequence <= node.grantor.sequence
-    return decoded.born_ms < known.born_ms
+    return decoded.born_ms < known.started_at_ms
 
 
-def apply_leave(reconciler: records.Steward, name: str) -> http.Reply:
+def apply_leave(reconciler: records.Reconciler, name: str) -> http.Reply:
     """Note that a target says that it is gone.
 
     :param keeper: what the node has in the table.
@@ -95,5 +95,5 @@
     """
     target = reconciler.node.target
     if target is not None and announcement.read_target_id(target.lifetime) == name:
-        node_module.set_gone(reconciler.node, "has left", is_dead=False)
+        node_module.set_target_gone(reconciler.node, "has left", is_dead=False)
     return http.Reply(status=200, body=b"{}")
--- a/src/ebonyvalve/platform/settings.py
+++ b/src/ebonyvalve/platform/settings.py
@@ -79,7 +79,7 @@
         reports_address=identity.Address(wire.listen.control),
         store_address=identity.Address(wire.platform.address),
         heartbeat_s=wire.heartbeat_s,
-        most_hold_s=bounds.get("max_hold_s", 10.0),
+        max_hold_s=bounds.get("max_hold_s", 10.0),
         drain_s=bounds.get("drain_s", 2.0),
         grace_s=bounds.get("grace_s", 6.0),
         retries=place.RetryAllowance(
@@ -101,8 +101,8 @@
 
     try:
         tree = tomllib.loads(body.decode())
-    except decoding.UNREADABLE as exc:
-        return result.Failure(decoding.describe(exc))
+    except decoding.DECODE_ERRORS as exc:
+        return result.Failure(decoding.describe_error(exc))
     converted = decoding.convert(tree, Document)
     if not isinstance(converted, result.Success):
         return result.Failure(converted.failure())
@@ -112,7 +112,7 @@
         name, _, value = (part.strip() for part in entry.partition("="))
         # Bounds may also be true or false; none of those is used here.
         if value not in BOOLEANS:
-            bounds[name] = decoding.read_number(value, most=MAX_BOUND)
+            bounds[name] = decoding.read_number(value, max_value=MAX_BOUND)
     fault = find_fault(wire, bounds)
     if fault:
         return result.Failure(fault)
--- a/src/ebonyvalve/platform/store.py
+++ b/src/ebonyvalve/platform/store.py
@@ -86,7 +86,7 @@
     on_recovery: collections.abc.Callable[[], None] = lambda: None
     idle: list[tuple[trio.abc.Stream, h11.Connection]] = dataclasses.field(default_factory=list)
     is_reachable: bool = True
-    unreadable: decoding.Unreadable = dataclasses.field(default_factory=decoding.Unreadable)
+    unreadable: decoding.UnreadableRows = dataclasses.field(default_factory=decoding.UnreadableRows)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -105,23 +105,23 @@
     :param client: the connections.
     """
 
-    async def read(name: table.TableName) -> table.Rows | table.Trouble:
+    async def read(name: table.TableName) -> table.Rows | table.Failure:
         return await _read_all(client, name)
 
     async def follow(
         name: table.TableName, after: int, wait_s: float
-    ) -> table.Rows | table.Trouble:
+    ) -> table.Rows | table.Failure:
         query = urllib.parse.urlencode(
             {"table": name, "after": after, "wait_ms": round(wait_s * 1000)}
         )
         answer = await _call(
             client, "GET", f"/rows-feed?{query}", timeout_s=wait_s + FOLLOW_SLACK_S
         )
-        return answer if isinstance(answer, table.Trouble) else _decode_rows(client, answer)
+        return answer if isinstance(answer, table.Failure) else _decode_rows(client, answer)
 
     async def commit(
         expected: dict[table.Name, int], writes: dict[table.Name, bytes | None]
-    ) -> table.Committed | table.Conflict | table.Trouble:
+    ) -> table.Committed | table.Conflict | table.Failure:
         return await _commit(client, expected, writes)
 
     return table.Store(read=read, follow=follow, commit=commit)
@@ -140,7 +140,7 @@
     client.on_recovery()
 
 
-async def _read_all(client: Client, name: table.TableName) -> table.Rows | table.Trouble:
+async def _read_all(client: Client, name: table.TableName) -> table.Rows | table.Failure:
     rows: list[table.Row] = []
     start = ""
     for _ in range(MAX_PAGES):
@@ -148,28 +148,28 @@
         if start:
             query["from"] = start
         answer = await _call(client, "GET", f"/rows-get?{urllib.parse.urlencode(query)}")
-        if isinstance(answer, table.Trouble):
+        if isinstance(answer, table.Failure):
             return answer
         page = _decode_rows(client, answer)
-        if isinstance(page, table.Trouble):
+        if isinstance(page, table.Failure):
             return page
         rows.extend(page.rows)
         if page.has_more and not page.rows:
             # Nothing says where the next page begins, and part of a table must not pass for all.
-            return table.Trouble.UNKNOWN
+            return table.Failure.UNKNOWN
         if not page.has_more:
             return dataclasses.replace(page, rows=tuple(rows), has_more=False)
         # The smallest key above the last one.
         start = page.rows[-1].name.key + "\0"
     decision.record(log, logging.ERROR, "store-table-too-long", table=name, pages=MAX_PAGES)
-    return table.Trouble.UNKNOWN
+    return table.Failure.UNKNOWN
 
 
 async def _commit(
     client: Client,
     expected: dict[table.Name, int],
     writes: dict[table.Name, bytes | None],
-) -> table.Committed | table.Conflict | table.Trouble:
+) -> table.Committed | table.Conflict | table.Failure:
     names = {*expected, *writes}
     body: dict[str, object] = {
         "precondition": [
@@ -185,13 +185,13 @@
     if len({name.part for name in names}) > 1:
         body["across"] = True
     answer = await _call(client, "POST", "/rows-tx", msgspec.json.encode(body))
-    if isinstance(answer, table.Trouble):
+    if isinstance(answer, table.Failure):
         return answer
     decoded = _decode_rows(client, answer)
-    if isinstance(decoded, table.Trouble):
+    if isinstance(decoded, table.Failure):
         return decoded
     if answer.status == NO_TABLE:
-        return table.Trouble.UNKNOWN
+        return table.Failure.UNKNOWN
     if answer.status == CONFLICT:
         return table.Conflict(rows=decoded.rows)
     return table.Committed(version=decoded.version, clock=decoded.clock)
@@ -201,20 +201,20 @@
     return {"table": name.table, "part": name.part, "key": name.key}
 
 
-def _decode_rows(client: Client, answer: Answer) -> table.Rows | table.Trouble:
+def _decode_rows(client: Client, answer: Answer) -> table.Rows | table.Failure:
     if answer.status == GONE:
-        return table.Trouble.HISTORY_GONE
+        return table.Failure.HISTORY_GONE
     if answer.status not in (OK, CONFLICT, NO_TABLE):
         # Such a body would pass for a table without rows, or for a write that was done.
         decision.record(log, logging.ERROR, "store-answer-unreadable", cause=answer.status)
-        return table.Trouble.UNKNOWN
+        return table.Failure.UNKNOWN
     decoded = decoding.decode(answer.body, WireRows)
     if not isinstance(decoded, result.Success):
         decoded = _decode_readable(client, answer.body)
     if not isinstance(decoded, result.Success):
         cause = decoded.failure()
         decision.record(log, logging.ERROR, "store-answer-unreadable", cause=cause)
-        return table.Trouble.UNKNOWN
+        return table.Failure.UNKNOWN
     wire = decoded.unwrap()
     clock = None
     if wire.now_s is not None:
@@ -250,10 +250,10 @@
 def _record_unreadable(client: Client, place: WireRowName | WireRow | bytes, cause: str) -> None:
     """Log a row that can't be read, once for each of its versions."""
     if isinstance(place, bytes):
-        name, version = repr(place[: decoding.MOST_CAUSE]), table.MISSING
+        name, version = repr(place[: decoding.MAX_CAUSE_CHARS]), table.MISSING
     else:
         name, version = f"{place.table}/{place.key}", place.ver
-    decoding.note_unreadable(client.unreadable, log, name, version, cause)
+    decoding.record_unreadable(client.unreadable, log, name, version, cause)
 
 
 def _decode_row(client: Client, row: WireRow) -> table.Row:
@@ -272,12 +272,12 @@
     body: bytes = b"",
     *,
     timeout_s: float = CALL_TIMEOUT_S,
-) -> Answer | table.Trouble:
+) -> Answer | table.Failure:
     asked_at = client.now()
-    failure = table.Trouble.UNKNOWN
+    failure = table.Failure.UNKNOWN
     with trio.move_on_after(timeout_s):
         opened = await _take_idle(client) or await _connect(client)
-        if isinstance(opened, table.Trouble):
+        if isinstance(opened, table.Failure):
             return _record_reachability(client, opened)
         is_complete = False
         try:
@@ -286,13 +286,13 @@
                 is_complete = True
                 status, content = reply
                 if status in REFUSED_STATUSES:
-                    return _record_reachability(client, table.Trouble.UNAVAILABLE)
+                    return _record_reachability(client, table.Failure.UNAVAILABLE)
                 _record_reachability(client, None)
                 return Answer(
                     status=status, body=content, asked_at=asked_at, answered_at=client.now()
                 )
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError, OSError):
-            failure = table.Trouble.UNKNOWN
+            failure = table.Failure.UNKNOWN
         finally:
             if (
                 is_complete
@@ -321,13 +321,13 @@
 
 async def _connect(
     client: Client,
-) -> tuple[trio.abc.Stream, h11.Connection] | table.Trouble:
+) -> tuple[trio.abc.Stream, h11.Connection] | table.Failure:
     with trio.move_on_after(CONNECT_TIMEOUT_S):
         try:
             return await client.connect(client.address), h11.Connection(h11.CLIENT)
         except (OSError, trio.BrokenResourceError):
-            return table.Trouble.UNAVAILABLE
-    return table.Trouble.UNAVAILABLE
+            return table.Failure.UNAVAILABLE
+    return table.Failure.UNAVAILABLE
 
 
 async def _exchange(
@@ -347,7 +347,7 @@
     return (reply.status_code, content) if isinstance(reply, h11.Response) else None
 
 
-def _record_reachability(client: Client, failure: table.Trouble | None) -> table.Trouble:
+def _record_reachability(client: Client, failure: table.Failure | None) -> table.Failure:
     """Log the loss and the return of the store, once each."""
     if client.is_reachable != (failure is None):
         client.is_reachable = failure is None
@@ -357,4 +357,4 @@
         level = logging.INFO if client.is_reachable else logging.WARNING
         cause = "" if failure is None else failure.value
         decision.record(log, level, event, address=client.address, cause=cause)
-    return failure or table.Trouble.UNKNOWN
+    return failure or table.Failure.UNKNOWN
--- a/src/ebonyvalve/platform/tool.py
+++ b/src/ebonyvalve/platform/tool.py
@@ -161,7 +161,7 @@
     for service, ledger in sorted(node_survey.ledgers.items()):
         yield f"ledger of {service}, version {node_survey.versions[service]}"
         for span in ledger.spans:
-            moving = f", moving to {span.heir_node}" if span.heir else ""
+            moving = f", moving to {span.successor_node}" if span.successor else ""
             holder = f"{span.holder} beside {span.node}" if span.holder else "nobody"
             yield f"  {span.first} to {span.last}: {holder}, fence {span.fence}{moving}"
     for name, value in sorted(node_survey.gauges.items()):
@@ -174,7 +174,7 @@
     line += known.state.value
     if known.state is member.TargetState.READY and known.zone in node_survey.evacuated:
         line += ", evacuated"
-    line += f", {survey.tell_load(peer)}"
+    line += f", {survey.format_load(peer)}"
     return f"{line}, passed by for {peer.avoided_s:.1f} s" if peer.avoided_s else line
 
 
--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -281,7 +281,7 @@
     for address in (member.peer_address, member.hop_address):
         if not decoding.is_address(address):
             return f"address {address!r} is not host:port"
-    return "" if 0 <= member.slots <= decoding.MOST_SLOTS else f"{member.slots} slots"
+    return "" if 0 <= member.slots <= decoding.MAX_SLOTS else f"{member.slots} slots"
 
 
 def _decode(value: bytes, kind: type[T]) -> T:
--- a/src/ebonyvalve/process/decoding.py
+++ b/src/ebonyvalve/process/decoding.py
@@ -22,39 +22,39 @@
 Form = typing.TypeVar("Form")
 
 # Whole numbers up to this are exact in every reader of JSON.
-MOST_COUNT = 2**53 - 1
+MAX_COUNT = 2**53 - 1
 # Far above any real figure, far below where sums lose whole seconds.
-MOST_SECONDS = 1e12
-MOST_SLOTS = 1_000_000
-MOST_LOAD = 1e9
-MOST_NAME_BYTES = 256
-MOST_CAUSE = 200
-MOST_NOTED = 1000
-LAST_PORT = 65_535
-
-Count = typing.Annotated[int, msgspec.Meta(ge=0, le=MOST_COUNT)]
-Key = typing.Annotated[int, msgspec.Meta(ge=0, le=identity.LAST_SLOT)]
-Slots = typing.Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
-Seconds = typing.Annotated[float, msgspec.Meta(ge=0, le=MOST_SECONDS)]
-Load = typing.Annotated[float, msgspec.Meta(ge=0, le=MOST_LOAD)]
+MAX_SECONDS = 1e12
+MAX_SLOTS = 1_000_000
+MAX_LOAD = 1e9
+MAX_NAME_BYTES = 256
+MAX_CAUSE_CHARS = 200
+MAX_UNREADABLE_ROWS = 1000
+MAX_PORT = 65_535
+
+Count = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
+KeySlot = typing.Annotated[int, msgspec.Meta(ge=0, le=identity.LAST_SLOT)]
+Slots = typing.Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
+Seconds = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_SECONDS)]
+Load = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_LOAD)]
 
 # Everything that reading bytes, text or numbers of any content may raise.
-UNREADABLE = (msgspec.MsgspecError, ValueError, OverflowError, RecursionError)
-LABEL = r"[0-9A-Za-z_](?:[0-9A-Za-z_-]{0,61}[0-9A-Za-z_])?"
-HOST = re.compile(rf"(?:{LABEL}(?:\.{LABEL})*|\[[0-9A-Fa-f:.]+\])\Z")
-MARKS = re.compile(rb'"(?:[^"\\]|\\.)*+"|[\[\]{}]', re.DOTALL)
-OPENING = (b"[", b"{")
+DECODE_ERRORS = (msgspec.MsgspecError, ValueError, OverflowError, RecursionError)
+HOST_LABEL = r"[0-9A-Za-z_](?:[0-9A-Za-z_-]{0,61}[0-9A-Za-z_])?"
+HOST_PATTERN = re.compile(rf"(?:{HOST_LABEL}(?:\.{HOST_LABEL})*|\[[0-9A-Fa-f:.]+\])\Z")
+JSON_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*+"|[\[\]{}]', re.DOTALL)
+OPENING_BRACKETS = (b"[", b"{")
 
 
 @dataclasses.dataclass(kw_only=True)
-class Unreadable:
+class UnreadableRows:
     """Rows that can't be used, each with the version that was logged."""
 
     versions: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
-def note_unreadable(
-    unreadable: Unreadable, log: logging.Logger, row: str, version: int, cause: str
+def record_unreadable(
+    unreadable: UnreadableRows, log: logging.Logger, row: str, version: int, cause: str
 ) -> None:
     """Note a row that can't be used, and log it once for each of its versions.
 
@@ -67,12 +67,12 @@
     if unreadable.versions.get(row) == version:
         return
     unreadable.versions[row] = version
-    if len(unreadable.versions) > MOST_NOTED:
+    if len(unreadable.versions) > MAX_UNREADABLE_ROWS:
         del unreadable.versions[next(iter(unreadable.versions))]
     decision.record(log, logging.ERROR, "row-unreadable", row=row, version=version, cause=cause)
 
 
-def is_unreadable(unreadable: Unreadable, row: str) -> bool:
+def is_unreadable(unreadable: UnreadableRows, row: str) -> bool:
     """Return whether a row can't be used.
 
     :param unreadable: the state.
@@ -81,7 +81,7 @@
     return row in unreadable.versions
 
 
-def note_readable(unreadable: Unreadable, row: str, version: int) -> None:
+def record_readable(unreadable: UnreadableRows, row: str, version: int) -> None:
     """Note that a row can be used, or is gone.
 
     :param unreadable: the state.
@@ -93,7 +93,7 @@
 
 
 def forget_missing(
-    unreadable: Unreadable, table: str, present: collections.abc.Container[str]
+    unreadable: UnreadableRows, table: str, present: collections.abc.Container[str]
 ) -> None:
     """Forget the rows of a table that are gone.
 
@@ -125,9 +125,9 @@
     try:
         value = msgspec.json.decode(body, type=form)
         fault = find_fault(value)
-    except UNREADABLE as exc:
-        fault = describe(exc)
-    return result.Failure(fault[:MOST_CAUSE]) if fault else result.Success(value)
+    except DECODE_ERRORS as exc:
+        fault = describe_error(exc)
+    return result.Failure(fault[:MAX_CAUSE_CHARS]) if fault else result.Success(value)
 
 
 def convert(tree: object, form: type[Form]) -> result.Result[Form, str]:
@@ -138,8 +138,8 @@
     """
     try:
         return result.Success(msgspec.convert(tree, form, strict=False))
-    except UNREADABLE as exc:
-        return result.Failure(describe(exc))
+    except DECODE_ERRORS as exc:
+        return result.Failure(describe_error(exc))
 
 
 def decode_base64(text: str) -> result.Result[bytes, str]:
@@ -149,11 +149,11 @@
     """
     try:
         return result.Success(base64.b64decode(text, validate=True))
-    except UNREADABLE as exc:
-        return result.Failure(describe(exc))
+    except DECODE_ERRORS as exc:
+        return result.Failure(describe_error(exc))
 
 
-def unpack(packed: bytes, *, most: int) -> result.Result[bytes, str]:
+def decompress(packed: bytes, *, max_bytes: int) -> result.Result[bytes, str]:
     """Return what was packed with ``zlib``, or what is wrong with it.
 
     :param packed: the bytes.
@@ -161,34 +161,38 @@
     """
     reader = zlib.decompressobj()
     try:
-        plain = reader.decompress(packed, most)
+        plain = reader.decompress(packed, max_bytes)
     except zlib.error as exc:
-        return result.Failure(describe(exc))
-    return result.Success(plain) if reader.eof else result.Failure(f"no end within {most} bytes")
+        return result.Failure(describe_error(exc))
+    return (
+        result.Success(plain) if reader.eof else result.Failure(f"no end within {max_bytes} bytes")
+    )
 
 
-def decode_packed(packed: bytes, form: type[Form], *, most: int) -> result.Result[Form, str]:
+def decode_compressed(
+    packed: bytes, form: type[Form], *, max_bytes: int
+) -> result.Result[Form, str]:
     """Return the value of a packed MessagePack text, or what is wrong with it.
 
     :param packed: the text, packed with ``zlib``.
     :param form: the type of the value.
     :param most: how many bytes it may unpack to.
     """
-    unpacked = unpack(packed, most=most)
+    unpacked = decompress(packed, max_bytes=max_bytes)
     if not isinstance(unpacked, result.Success):
         return result.Failure(unpacked.failure())
     try:
         return result.Success(msgspec.msgpack.decode(unpacked.unwrap(), type=form))
-    except UNREADABLE as exc:
-        return result.Failure(describe(exc))
+    except DECODE_ERRORS as exc:
+        return result.Failure(describe_error(exc))
 
 
-def describe(exc: BaseException) -> str:
+def describe_error(exc: BaseException) -> str:
     """Return a bounded text of what could not be read.
 
     :param exc: one of ``UNREADABLE``.
     """
-    return (str(exc) or type(exc).__name__)[:MOST_CAUSE]
+    return (str(exc) or type(exc).__name__)[:MAX_CAUSE_CHARS]
 
 
 def prune(body: bytes, depth: int) -> bytes:
@@ -201,8 +205,8 @@
     """
     parts: list[bytes] = []
     level = kept = 0
-    for mark in MARKS.finditer(body):
-        if mark.group() in OPENING:
+    for mark in JSON_TOKENS.finditer(body):
+        if mark.group() in OPENING_BRACKETS:
             level += 1
             if level == depth + 1:
                 parts.extend((body[kept : mark.start()], b"null"))
@@ -213,7 +217,7 @@
     return b"".join((*parts, body[kept:])) if level == 0 else body
 
 
-def read_count(text: str | bytes, *, most: int = MOST_COUNT) -> int | None:
+def read_count(text: str | bytes, *, max_value: int = MAX_COUNT) -> int | None:
     """Return a whole number written in decimal digits, or ``None``.
 
     :param text: the digits.
@@ -223,10 +227,10 @@
     if len(text) > 20 or not text.isascii() or not text.isdigit():
         return None
     value = int(text)
-    return value if value <= most else None
+    return value if value <= max_value else None
 
 
-def read_number(text: str | bytes, *, most: float) -> float | None:
+def read_number(text: str | bytes, *, max_value: float) -> float | None:
     """Return a number from 0 up to a bound, or ``None``.
 
     :param text: the number.
@@ -234,9 +238,9 @@
     """
     try:
         value = float(text)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
-    return value if math.isfinite(value) and 0 <= value <= most else None
+    return value if math.isfinite(value) and 0 <= value <= max_value else None
 
 
 def read_name(value: bytes) -> str | None:
@@ -258,7 +262,7 @@
     """
     # Lone surrogates, which have no bytes, are not printable.
     is_plain = text.isprintable() and text == text.strip()
-    return is_plain and 0 < len(text.encode()) <= MOST_NAME_BYTES
+    return is_plain and 0 < len(text.encode()) <= MAX_NAME_BYTES
 
 
 def is_address(text: str) -> bool:
@@ -267,5 +271,5 @@
     :param text: the text.
     """
     host, _, port = text.rpartition(":")
-    number = read_count(port, most=LAST_PORT)
-    return bool(number) and len(host) <= MOST_NAME_BYTES and HOST.match(host) is not None
+    number = read_count(port, max_value=MAX_PORT)
+    return bool(number) and len(host) <= MAX_NAME_BYTES and HOST_PATTERN.match(host) is not None
--- a/src/ebonyvalve/process/keyspace/grant.py
+++ b/src/ebonyvalve/process/keyspace/grant.py
@@ -39,7 +39,7 @@
     key of a range that answers leave out to the report that was answered so for the first time.
     """
 
-    lifetime: identity.Lifetime = ledger.NOBODY
+    lifetime: identity.Lifetime = ledger.NO_HOLDER
     sequence: int = -1
     ends_at: float = 0.0
     holds: tuple[tuple[int, int, int], ...] = ()
@@ -59,18 +59,18 @@
     return max(4.0, 4.0 * heartbeat_s)
 
 
-def start(*, now: float, most_hold_s: float) -> Grantor:
+def start(*, now: float, max_hold_s: float) -> Grantor:
     """Return the state of a node that has just started.
 
     The node before it may have granted keys until now.
 
     :param now: seconds on the node's clock.
-    :param most_hold_s: the longest hold that was ever granted.
+    :param max_hold_s: the longest hold that was ever granted.
     """
-    return Grantor(ends_at=lease.find_end(now, most_hold_s))
+    return Grantor(ends_at=lease.find_hold_end(now, max_hold_s))
 
 
-def take_report(grantor: Grantor, report: Report) -> None:
+def record_report(grantor: Grantor, report: Report) -> None:
     """Note what the target says.
 
     :param grantor: the state.
@@ -98,12 +98,12 @@
         grantor.granted = ()
         return Grant(spans=None, hold_s=0.0)
     held = ledger.list_held(book, grantor.lifetime)
-    spans = tuple(span for span in held if not span.heir)
-    moving = {(span.first, span.last) for span in held if span.heir}
+    spans = tuple(span for span in held if not span.successor)
+    moving = {(span.first, span.last) for span in held if span.successor}
     grantor.withheld = {
         place: grantor.withheld.get(place, grantor.sequence) for place in sorted(moving)
     }
-    grantor.ends_at = max(grantor.ends_at, lease.find_end(now, hold_s))
+    grantor.ends_at = max(grantor.ends_at, lease.find_hold_end(now, hold_s))
     grantor.granted = tuple((span.first, span.last) for span in spans)
     return Grant(spans=spans, hold_s=hold_s)
 
@@ -117,7 +117,7 @@
     """
     free = {}
     for span in ledger.list_held(book, grantor.lifetime):
-        if not span.heir:
+        if not span.successor:
             continue
         since = grantor.withheld.get((span.first, span.last))
         is_told = since is not None and grantor.sequence > since
--- a/src/ebonyvalve/process/keyspace/lease.py
+++ b/src/ebonyvalve/process/keyspace/lease.py
@@ -115,7 +115,7 @@
     return math.inf if clock is None else read_latest(clock, now) + 3 * LEASE_S
 
 
-def find_hold(row: LeaseRow | None, clock: StoreClock | None, now: float, most_s: float) -> float:
+def find_hold(row: LeaseRow | None, clock: StoreClock | None, now: float, max_s: float) -> float:
     """Return for how many seconds of its own clock a target may hold its keys; 0 for not at all.
 
     :param row: the node's lease as the store has it.
@@ -126,10 +126,10 @@
     if row is None or clock is None:
         return 0.0
     left_s = row.until_s - read_latest(clock, now) - MARGIN_S
-    return max(0.0, min(most_s, left_s / (1 + TARGET_DRIFT)))
+    return max(0.0, min(max_s, left_s / (1 + TARGET_DRIFT)))
 
 
-def find_end(now: float, hold_s: float) -> float:
+def find_hold_end(now: float, hold_s: float) -> float:
     """Return when a hold given now has certainly ended, on the node's clock.
 
     :param now: seconds on the node's clock when the answer was written.
@@ -138,7 +138,7 @@
     return now + hold_s * (1 + TARGET_DRIFT) + MARGIN_S
 
 
-def is_over(row: LeaseRow, clock: StoreClock, now: float) -> bool:
+def is_expired(row: LeaseRow, clock: StoreClock, now: float) -> bool:
     """Return whether a lease of another node has certainly ended.
 
     :param row: the other node's lease.
--- a/src/ebonyvalve/process/keyspace/ledger.py
+++ b/src/ebonyvalve/process/keyspace/ledger.py
@@ -14,11 +14,11 @@
 
 from ebonyvalve.process import decoding, identity
 
-NOBODY = identity.Lifetime("")
+NO_HOLDER = identity.Lifetime("")
 # A ledger in which each of all keys has a span of its own comes near it.
-MOST_BYTES = 8 * 1024 * 1024
+MAX_BYTES = 8 * 1024 * 1024
 # Begins the ledgers of a release that did not pack them.
-PLAIN = b"{"
+UNCOMPRESSED_START = b"{"
 
 
 class Span(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
@@ -28,13 +28,13 @@
     released it. ``handover`` is what the last holder gave, for the present holder to show.
     """
 
-    first: decoding.Key
-    last: decoding.Key
+    first: decoding.KeySlot
+    last: decoding.KeySlot
     fence: decoding.Count
     node: str
     holder: str
-    heir_node: str = ""
-    heir: str = ""
+    successor_node: str = ""
+    successor: str = ""
     handover: str = ""
 
 
@@ -59,7 +59,7 @@
     :param candidates: the targets known so far.
     :param fence: no fence of an earlier ledger of the service is higher.
     """
-    vacant = Span(first=0, last=identity.LAST_SLOT, fence=fence, node="", holder=NOBODY)
+    vacant = Span(first=0, last=identity.LAST_SLOT, fence=fence, node="", holder=NO_HOLDER)
     return assign_vacant(Ledger(spans=(vacant,)), candidates)
 
 
@@ -78,9 +78,9 @@
 
     :param value: the row's bytes.
     """
-    if value[:1] == PLAIN:
+    if value[:1] == UNCOMPRESSED_START:
         return decoding.decode(value, Ledger, find_fault)
-    unpacked = decoding.unpack(value, most=MOST_BYTES)
+    unpacked = decoding.decompress(value, max_bytes=MAX_BYTES)
     return unpacked.bind(lambda plain: decoding.decode(plain, Ledger, find_fault))
 
 
@@ -94,16 +94,18 @@
         if span.first != due or span.last < span.first:
             return f"span {span.first} to {span.last} does not begin at key {due}"
         due = span.last + 1
-        is_half = bool(span.holder) != bool(span.node) or bool(span.heir) != bool(span.heir_node)
-        if is_half or (span.heir and not span.holder):
+        is_half = bool(span.holder) != bool(span.node) or bool(span.successor) != bool(
+            span.successor_node
+        )
+        if is_half or (span.successor and not span.holder):
             return f"span {span.first} to {span.last} names a target without its node"
-        names = (span.node, span.holder, span.heir_node, span.heir)
+        names = (span.node, span.holder, span.successor_node, span.successor)
         if not all(decoding.is_name(name) for name in names if name):
             return f"span {span.first} to {span.last} names no target"
     return "" if due > identity.LAST_SLOT else f"keys from {due} on are in no span"
 
 
-def find(ledger: Ledger, slot: int) -> Span:
+def find_span(ledger: Ledger, slot: int) -> Span:
     """Return the span of a key.
 
     :param ledger: the ledger.
@@ -140,7 +142,7 @@
         spans=tuple(
             (
                 msgspec.structs.replace(
-                    span, node="", holder=NOBODY, heir="", heir_node="", handover=""
+                    span, node="", holder=NO_HOLDER, successor="", successor_node="", handover=""
                 )
                 if span.holder and is_lost(span)
                 else span
@@ -150,7 +152,7 @@
     )
 
 
-def pass_on(ledger: Ledger, released: collections.abc.Mapping[int, str]) -> Ledger:
+def complete_moves(ledger: Ledger, released: collections.abc.Mapping[int, str]) -> Ledger:
     """Move released spans to their heirs.
 
     :param ledger: the ledger.
@@ -162,13 +164,13 @@
                 msgspec.structs.replace(
                     span,
                     fence=span.fence + 1,
-                    node=span.heir_node,
-                    holder=span.heir,
-                    heir="",
-                    heir_node="",
+                    node=span.successor_node,
+                    holder=span.successor,
+                    successor="",
+                    successor_node="",
                     handover=released[span.first],
                 )
-                if span.first in released and span.heir
+                if span.first in released and span.successor
                 else span
             )
             for span in ledger.spans
@@ -185,8 +187,8 @@
     return Ledger(
         spans=tuple(
             (
-                msgspec.structs.replace(span, heir="", heir_node="")
-                if span.heir and is_wrong(span)
+                msgspec.structs.replace(span, successor="", successor_node="")
+                if span.successor and is_wrong(span)
                 else span
             )
             for span in ledger.spans
@@ -204,13 +206,13 @@
     :param candidates: targets that may take keys.
     """
     able = sorted((one for one in candidates if one.weight > 0), key=lambda one: one.lifetime)
-    if not able or not any(span.holder == NOBODY for span in ledger.spans):
+    if not able or not any(span.holder == NO_HOLDER for span in ledger.spans):
         return ledger
     wanted = _find_shortfalls(ledger, able)
     spans: list[Span] = []
     for span in ledger.spans:
-        if span.holder == NOBODY:
-            spans.extend(_deal(span, wanted))
+        if span.holder == NO_HOLDER:
+            spans.extend(_divide(span, wanted))
         else:
             spans.append(span)
     return Ledger(spans=tuple(spans))
@@ -221,7 +223,7 @@
     total = sum(one.weight for one in able)
     held = dict.fromkeys((one.lifetime for one in able), 0)
     for span in ledger.spans:
-        holder = span.heir or span.holder
+        holder = span.successor or span.holder
         if holder in held:
             held[identity.Lifetime(holder)] += span.last - span.first + 1
     size = identity.LAST_SLOT + 1
@@ -231,7 +233,7 @@
     )
 
 
-def _deal(span: Span, wanted: list[tuple[float, Candidate]]) -> collections.abc.Iterator[Span]:
+def _divide(span: Span, wanted: list[tuple[float, Candidate]]) -> collections.abc.Iterator[Span]:
     """Cut a vacant span among the candidates with the largest shortfalls."""
     first = span.first
     while first <= span.last:
@@ -261,11 +263,11 @@
     return {
         identity.Lifetime(span.holder)
         for span in after.spans
-        if span.holder and find(before, span.first).holder != span.holder
+        if span.holder and find_span(before, span.first).holder != span.holder
     }
 
 
-def find_concerned(before: Ledger, after: Ledger) -> set[identity.NodeId]:
+def find_affected_nodes(before: Ledger, after: Ledger) -> set[identity.NodeId]:
     """Return the nodes that hold, have held or shall get the ranges that differ.
 
     :param before: the earlier ledger; without spans, if there was none.
@@ -273,18 +275,18 @@
     """
     names: set[str] = set()
     for span in after.spans:
-        old = find(before, span.first) if before.spans else None
-        if old is None or _read_parties(old) != _read_parties(span):
-            names |= {span.node, span.heir_node}
-            names |= {old.node, old.heir_node} if old is not None else set()
+        old = find_span(before, span.first) if before.spans else None
+        if old is None or _read_ownership(old) != _read_ownership(span):
+            names |= {span.node, span.successor_node}
+            names |= {old.node, old.successor_node} if old is not None else set()
     return {identity.NodeId(name) for name in names if name}
 
 
-def _read_parties(span: Span) -> tuple[int, str, str]:
-    return span.fence, span.holder, span.heir
+def _read_ownership(span: Span) -> tuple[int, str, str]:
+    return span.fence, span.holder, span.successor
 
 
-def order_move(ledger: Ledger, first: int, last: int, heir: Candidate) -> Ledger:
+def plan_move(ledger: Ledger, first: int, last: int, heir: Candidate) -> Ledger:
     """Plan the move of a range to another target; spans are cut at its ends.
 
     :param ledger: the ledger.
@@ -302,15 +304,17 @@
         inside = msgspec.structs.replace(
             span, first=max(span.first, first), last=min(span.last, last)
         )
-        if inside.holder not in (heir.lifetime, NOBODY):
-            inside = msgspec.structs.replace(inside, heir=heir.lifetime, heir_node=heir.node)
+        if inside.holder not in (heir.lifetime, NO_HOLDER):
+            inside = msgspec.structs.replace(
+                inside, successor=heir.lifetime, successor_node=heir.node
+            )
         spans.append(inside)
         if span.last > last:
             spans.append(msgspec.structs.replace(span, first=last + 1))
     return Ledger(spans=tuple(spans))
 
 
-def order_exit(
+def plan_exit(
     ledger: Ledger,
     lifetime: identity.Lifetime,
     candidates: collections.abc.Iterable[Candidate],
@@ -328,17 +332,17 @@
     wanted = _find_shortfalls(ledger, able)
     spans: list[Span] = []
     for span in ledger.spans:
-        if span.holder != lifetime or span.heir in names:
+        if span.holder != lifetime or span.successor in names:
             spans.append(span)
             continue
-        for part in _deal(span, wanted):
+        for part in _divide(span, wanted):
             spans.append(
                 msgspec.structs.replace(
                     span,
                     first=part.first,
                     last=part.last,
-                    heir=part.holder,
-                    heir_node=part.node,
+                    successor=part.holder,
+                    successor_node=part.node,
                 )
             )
     return Ledger(spans=tuple(spans))
--- a/src/ebonyvalve/process/keyspace/plan.py
+++ b/src/ebonyvalve/process/keyspace/plan.py
@@ -7,11 +7,11 @@
 from ebonyvalve.process.keyspace import ledger
 
 # A target that joins gets its part only if that is worth a move.
-LEAST_PART = 64
+MIN_SHARE = 64
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Situation:
+class Observation:
     """What a node knows when it looks at the ledger.
 
     ``present`` is the lifetime of the node's own target, or nobody while it has none.
@@ -21,16 +21,16 @@
     """
 
     node: identity.NodeId
-    present: identity.Lifetime
+    own_lifetime: identity.Lifetime
     candidates: tuple[ledger.Candidate, ...]
     released: dict[int, str]
-    over: frozenset[identity.NodeId]
+    expired_nodes: frozenset[identity.NodeId]
     is_leaving: bool
     is_leader: bool
     is_lost: collections.abc.Callable[[identity.Lifetime], bool]
 
 
-def propose(book: ledger.Ledger, situation: Situation) -> ledger.Ledger:
+def propose(book: ledger.Ledger, situation: Observation) -> ledger.Ledger:
     """Return the ledger that should be written; the same one if there is nothing to do.
 
     :param book: the committed ledger.
@@ -40,23 +40,23 @@
     proposed = ledger.vacate(
         book,
         lambda span: (span.node == situation.node and situation.is_lost(_name(span.holder)))
-        or span.node in situation.over,
+        or span.node in situation.expired_nodes,
     )
-    proposed = ledger.pass_on(
+    proposed = ledger.complete_moves(
         proposed,
         {
             span.first: situation.released[span.first]
             for span in proposed.spans
-            if span.first in situation.released and span.heir in names
+            if span.first in situation.released and span.successor in names
         },
     )
     proposed = ledger.cancel_moves(
         proposed,
-        lambda span: span.heir not in names
+        lambda span: span.successor not in names
         and (span.node == situation.node or situation.is_leader),
     )
     if situation.is_leaving:
-        proposed = ledger.order_exit(proposed, situation.present, situation.candidates)
+        proposed = ledger.plan_exit(proposed, situation.own_lifetime, situation.candidates)
     is_written_anyway = proposed != book
     if situation.is_leader or is_written_anyway:
         proposed = ledger.assign_vacant(proposed, situation.candidates)
@@ -69,23 +69,25 @@
     return identity.Lifetime(holder)
 
 
-def _share_with_newcomer(book: ledger.Ledger, situation: Situation) -> ledger.Ledger:
+def _share_with_newcomer(book: ledger.Ledger, situation: Observation) -> ledger.Ledger:
     """Give part of the own keys to a target that holds none, if the own part is the largest."""
     sizes = {one.lifetime: 0 for one in situation.candidates if one.weight > 0}
     for span in book.spans:
         if span.holder in sizes:
             sizes[identity.Lifetime(span.holder)] += span.last - span.first + 1
-    if situation.present not in sizes or any(span.heir for span in book.spans):
+    if situation.own_lifetime not in sizes or any(span.successor for span in book.spans):
         return book
     empty = [one for one in situation.candidates if sizes.get(one.lifetime) == 0]
     largest = max(sizes, key=lambda name: (sizes[name], name))
-    if not empty or largest != situation.present or not sizes[largest]:
+    if not empty or largest != situation.own_lifetime or not sizes[largest]:
         return book
     fair = (identity.LAST_SLOT + 1) // len(sizes)
     wanted = min(fair, sizes[largest] // 2)
-    own = max(ledger.list_held(book, situation.present), key=lambda span: span.last - span.first)
+    own = max(
+        ledger.list_held(book, situation.own_lifetime), key=lambda span: span.last - span.first
+    )
     part = min(wanted, (own.last - own.first + 1) // 2)
-    if part < LEAST_PART:
+    if part < MIN_SHARE:
         return book
     heir = min(empty, key=lambda one: one.lifetime)
-    return ledger.order_move(book, own.last - part + 1, own.last, heir)
+    return ledger.plan_move(book, own.last - part + 1, own.last, heir)
--- a/src/ebonyvalve/process/keyspace/relief.py
+++ b/src/ebonyvalve/process/keyspace/rebalancing.py
@@ -12,27 +12,27 @@
 from ebonyvalve.process.keyspace import ledger
 
 # Above this a target is relieved although no other one is faster.
-BUSY = 0.6
+BUSY_LOAD = 0.6
 # A target this much busier than the mean is relieved; less is noise.
-UNEVEN = 1.2
+UNEVEN_RATIO = 1.2
 # A faster target is given keys up to this load. When neighbours triple its work time for a moment,
 # it is still not asked for much more than it can do.
-COMFORT = 0.5
+FILL_LOAD = 0.5
 # Above this mean load, bursts and hot keys decide; then all targets are to be equally busy.
-CALM = 0.5
+CALM_LOAD = 0.5
 # Work times are known to within a quarter on either side.
-SLOWER = 1.6
+SLOWER_RATIO = 1.6
 # Part of the difference that a move evens out. The rest is left to the next look, because rates
 # are known only roughly.
-STEP = 0.8
+STEP_SHARE = 0.8
 # Part of its load that a target gives away at once because others are faster.
-MOST_GIVEN = 0.5
-MOST_MOVES = 3
+MAX_GIVEN_SHARE = 0.5
+MAX_MOVES = 3
 # A move that brings less than this share of a target's room isn't worth its cost.
-LEAST_GAIN = 0.04
+MIN_GAIN = 0.04
 # Queues grow without bound as the load nears 1; the expected time stays finite.
-MOST_OFFERED = 0.95
-HALVINGS = 12
+MAX_OFFERED = 0.95
+BISECTION_STEPS = 12
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -53,7 +53,7 @@
 
     first: int
     last: int
-    heir: ledger.Candidate
+    successor: ledger.Candidate
 
 
 def expect_answer(load: Load, offered: float) -> float:
@@ -64,10 +64,12 @@
     """
     work_s = load.request_load * load.candidate.weight
     # With several slots, hardly anything waits below half load.
-    return work_s * (1.0 + offered**4 / (1.0 - min(offered, MOST_OFFERED)))
+    return work_s * (1.0 + offered**4 / (1.0 - min(offered, MAX_OFFERED)))
 
 
-def find_heir(own: Load, others: collections.abc.Iterable[Load], *, mean: float) -> Load | None:
+def find_successor(
+    own: Load, others: collections.abc.Iterable[Load], *, mean: float
+) -> Load | None:
     """Return the target that should get keys of another one, if that is worth a move.
 
     :param own: the load of the target that may give keys.
@@ -75,20 +77,20 @@
     :param mean: the mean load of all targets.
     """
     if is_busy(own):
-        if own.offered < UNEVEN * mean:
+        if own.offered < UNEVEN_RATIO * mean:
             return None
         idle = [one for one in others if one.offered <= mean]
         return min(idle, key=lambda one: (one.offered, one.candidate.lifetime), default=None)
-    if mean > CALM:
+    if mean > CALM_LOAD:
         return None
     soonest = min(
-        (one for one in others if one.offered <= COMFORT),
+        (one for one in others if one.offered <= FILL_LOAD),
         key=lambda one: (_expect_now(one), one.candidate.lifetime),
         default=None,
     )
-    if soonest is None or soonest.offered >= COMFORT:
+    if soonest is None or soonest.offered >= FILL_LOAD:
         return None
-    return soonest if _expect_now(own) > SLOWER * _expect_now(soonest) else None
+    return soonest if _expect_now(own) > SLOWER_RATIO * _expect_now(soonest) else None
 
 
 def is_busy(load: Load) -> bool:
@@ -96,7 +98,7 @@
 
     :param load: the target.
     """
-    return load.offered >= BUSY
+    return load.offered >= BUSY_LOAD
 
 
 def _expect_now(load: Load) -> float:
@@ -112,15 +114,15 @@
     if is_busy(own):
         return (own.offered - heir.offered) / (own.request_load + heir.request_load)
     # Others that are as slow have as good a claim to the heir's room.
-    low, high = 0.0, MOST_GIVEN * own.offered / own.request_load
-    for _ in range(HALVINGS):
+    low, high = 0.0, MAX_GIVEN_SHARE * own.offered / own.request_load
+    for _ in range(BISECTION_STEPS):
         rate = (low + high) / 2
         here_s = expect_answer(own, own.offered - rate * own.request_load)
         if here_s > expect_answer(heir, heir.offered + rate * heir.request_load):
             low = rate
         else:
             high = rate
-    return min(low, (COMFORT - heir.offered) / heir.request_load)
+    return min(low, (FILL_LOAD - heir.offered) / heir.request_load)
 
 
 def find_moves(
@@ -140,32 +142,32 @@
     :param mean: the mean load of all targets.
     """
     spans = ledger.list_held(book, own.candidate.lifetime)
-    if any(span.heir for span in spans):
+    if any(span.successor for span in spans):
         return []
     left = list(others)
     busy = sorted(rates.items())
-    pieces = [_list_rates(span, busy) for span in spans]
+    pieces = [_build_segment(span, busy) for span in spans]
     moves: list[Move] = []
     # One that is only slower gives a part at a time, as the others of its kind do.
-    most = MOST_MOVES if is_busy(own) else 1
+    most = MAX_MOVES if is_busy(own) else 1
     while len(moves) < most:
-        heir = find_heir(own, left, mean=mean)
+        heir = find_successor(own, left, mean=mean)
         if heir is None:
             break
-        cut = _cut(pieces, STEP * choose_rate(own, heir))
+        cut = _cut_segment(pieces, STEP_SHARE * choose_rate(own, heir))
         if cut is None:
             break
         first, last, rate = cut
-        if rate * own.request_load < LEAST_GAIN:
+        if rate * own.request_load < MIN_GAIN:
             break
-        moves.append(Move(first=first, last=last, heir=heir.candidate))
+        moves.append(Move(first=first, last=last, successor=heir.candidate))
         own = dataclasses.replace(own, offered=max(0.0, own.offered - rate * own.request_load))
         left.remove(heir)
     return moves
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Piece:
+class _Segment:
     """What is left of a span: its ends and the rates of its busy keys in order."""
 
     first: int
@@ -173,22 +175,22 @@
     busy: list[tuple[int, float]]
 
 
-def _list_rates(span: ledger.Span, busy: list[tuple[int, float]]) -> _Piece:
-    start = bisect.bisect_left(busy, span.first, key=_read_slot)
-    end = bisect.bisect_right(busy, span.last, key=_read_slot)
-    return _Piece(first=span.first, last=span.last, busy=busy[start:end])
+def _build_segment(span: ledger.Span, busy: list[tuple[int, float]]) -> _Segment:
+    start = bisect.bisect_left(busy, span.first, key=_read_key_slot)
+    end = bisect.bisect_right(busy, span.last, key=_read_key_slot)
+    return _Segment(first=span.first, last=span.last, busy=busy[start:end])
 
 
-def _read_slot(entry: tuple[int, float]) -> int:
+def _read_key_slot(entry: tuple[int, float]) -> int:
     return entry[0]
 
 
-def _cut(pieces: list[_Piece], wanted: float) -> tuple[int, int, float] | None:
+def _cut_segment(pieces: list[_Segment], wanted: float) -> tuple[int, int, float] | None:
     """Cut the end of a piece whose rate comes closest to what is wanted, and return it."""
-    best: tuple[float, _Piece, int, bool, float] | None = None
+    best: tuple[float, _Segment, int, bool, float] | None = None
     for piece in pieces:
         for is_left in (True, False):
-            found = _measure(piece, wanted, is_left=is_left)
+            found = _measure_end(piece, wanted, is_left=is_left)
             if found is None:
                 continue
             count, rate = found
@@ -211,7 +213,7 @@
     return first, last, rate
 
 
-def _measure(piece: _Piece, wanted: float, *, is_left: bool) -> tuple[int, float] | None:
+def _measure_end(piece: _Segment, wanted: float, *, is_left: bool) -> tuple[int, float] | None:
     """Return how many busy keys from one end come closest to the wanted rate, and their rate."""
     total = 0.0
     count = 0
--- a/src/ebonyvalve/process/keyspace/presence.py
+++ b/src/ebonyvalve/process/keyspace/registration.py
@@ -34,7 +34,7 @@
     ]
 
 
-async def announce(steward: records.Steward) -> None:
+async def announce(steward: records.Reconciler) -> None:
     """Write the node's own announcement whenever it changes, until cancelled.
 
     :param steward: the state.
@@ -42,28 +42,30 @@
     node = steward.node
     while True:
         changed = node.changed
-        own = node_module.describe(node)
+        own = node_module.build_member(node)
         ended = list_predecessors(node)
-        if own is None or (own == steward.announced and not ended):
+        if own is None or (own == steward.announced_member and not ended):
             await changed.wait()
             continue
         if await _write(steward, own, ended):
-            steward.announced = own
+            steward.announced_member = own
         else:
             await node_module.pause(node, records.RETRY_S)
 
 
-async def _write(steward: records.Steward, own: member.Member, ended: list[member.Member]) -> bool:
+async def _write(
+    steward: records.Reconciler, own: member.Member, ended: list[member.Member]
+) -> bool:
     """Write the announcement and end those before it at once, so that others learn of both."""
     is_gone = own.state is member.TargetState.GONE
-    writes = {records.name_member(own.node): None if is_gone else member.encode(own)}
+    writes = {records.name_member_row(own.node): None if is_gone else member.encode(own)}
     if ended:
         read = await steward.store.read(records.LEASES)
         if not isinstance(read, table.Rows):
             return False
-        leases = {records.name_lease(one.node) for one in ended}
+        leases = {records.name_lease_row(one.node) for one in ended}
         writes.update(dict.fromkeys(leases & {row.name for row in read.rows}))
-        writes.update(dict.fromkeys(records.name_member(one.node) for one in ended))
+        writes.update(dict.fromkeys(records.name_member_row(one.node) for one in ended))
     done = await steward.store.commit({}, writes)
     if not isinstance(done, table.Committed):
         return False
--- a/src/ebonyvalve/process/load/suspicion.py
+++ b/src/ebonyvalve/process/load/crashes.py
@@ -10,7 +10,7 @@
 from ebonyvalve.process import identity
 
 # Two may be chance: a popular request runs somewhere at any moment.
-MOST_CRASHES = 3
+QUARANTINE_CRASHES = 3
 # A caller that sends such a request again does so within seconds, and targets take some to return.
 MEMORY_S = 60.0
 # A fault that ends several targets at once is one crash for what ran on them.
@@ -20,14 +20,14 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Suspicion:
+class Quarantine:
     """The times of the crashes in which each request was running, oldest entries first."""
 
     crashes: dict[identity.Fingerprint, list[float]] = dataclasses.field(default_factory=dict)
 
 
-def note_crash(
-    suspicion: Suspicion,
+def record_crash(
+    suspicion: Quarantine,
     fingerprints: collections.abc.Iterable[identity.Fingerprint],
     now: float,
 ) -> None:
@@ -46,7 +46,7 @@
         del suspicion.crashes[next(iter(suspicion.crashes))]
 
 
-def is_guilty(suspicion: Suspicion, fingerprint: identity.Fingerprint, now: float) -> bool:
+def is_quarantined(suspicion: Quarantine, fingerprint: identity.Fingerprint, now: float) -> bool:
     """Return whether a request must not reach a target.
 
     :param suspicion: the state.
@@ -54,4 +54,4 @@
     :param now: seconds on the node's clock.
     """
     times = suspicion.crashes.get(fingerprint, [])
-    return sum(at > now - MEMORY_S for at in times) >= MOST_CRASHES
+    return sum(at > now - MEMORY_S for at in times) >= QUARANTINE_CRASHES
--- a/src/ebonyvalve/process/load/pace.py
+++ b/src/ebonyvalve/process/load/lag.py
@@ -7,53 +7,53 @@
 import dataclasses
 
 # A request passes through the loop about this many times as often as a wake-up does.
-PASSES = 8.0
+PASSES_PER_REQUEST = 8.0
 # A request that would need more than this part of its time for the node alone has none to spare
 # for its target.
-MOST_SHARE = 0.5
-WEIGHT = 0.3
+MAX_SHARE = 0.5
+SMOOTHING = 0.3
 # Wake-ups of a process that has time come a few milliseconds late.
-BEHIND_S = 0.02
+LAGGING_S = 0.02
 # A process that was frozen is behind by seconds once, and at work again at once.
-MOST_LATE_S = 1.0
+MAX_LATE_S = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
-class Pace:
+class LoopLag:
     """By how many seconds wake-ups come late, smoothed over the last few."""
 
     late_s: float = 0.0
 
 
-def note_wake_up(pace: Pace, late_s: float) -> None:
+def record_wake_up(pace: LoopLag, late_s: float) -> None:
     """Note a periodic wake-up.
 
     :param pace: the state.
     :param late_s: seconds between when it was due and when it came.
     """
-    pace.late_s += WEIGHT * (min(MOST_LATE_S, max(0.0, late_s)) - pace.late_s)
+    pace.late_s += SMOOTHING * (min(MAX_LATE_S, max(0.0, late_s)) - pace.late_s)
 
 
-def is_behind(pace: Pace) -> bool:
+def is_lagging(pace: LoopLag) -> bool:
     """Return whether requests may have waited for long before they were read.
 
     :param pace: the state.
     """
-    return pace.late_s > BEHIND_S
+    return pace.late_s > LAGGING_S
 
 
-def expect_own(pace: Pace) -> float:
+def expect_delay(pace: LoopLag) -> float:
     """Return the seconds that a request waits for this process until its answer is sent.
 
     :param pace: the state.
     """
-    return PASSES * pace.late_s
+    return PASSES_PER_REQUEST * pace.late_s
 
 
-def can_serve(pace: Pace, left_s: float) -> bool:
+def can_serve(pace: LoopLag, left_s: float) -> bool:
     """Return whether a request that comes now can be answered in time as far as this process goes.
 
     :param pace: the state.
     :param left_s: seconds until the request's deadline.
     """
-    return expect_own(pace) <= MOST_SHARE * left_s
+    return expect_delay(pace) <= MAX_SHARE * left_s
--- a/src/ebonyvalve/process/load/link.py
+++ b/src/ebonyvalve/process/load/link.py
@@ -8,9 +8,9 @@
 
 # Calls that running requests depend on, and pings, share the queue with large answers. Their time
 # budgets begin at a few tenths of a second.
-MOST_BACKLOG_S = 0.2
+MAX_BACKLOG_S = 0.2
 # Answers that take the link for less than this don't wait for room on it.
-LARGE_S = 0.02
+LARGE_TRANSFER_S = 0.02
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -24,7 +24,7 @@
     clear_at: float = float("-inf")
 
 
-def note_sent(link: Link, size: float, now: float) -> None:
+def record_sent(link: Link, size: float, now: float) -> None:
     """Note that an answer was given to the link.
 
     :param link: the state.
@@ -59,7 +59,7 @@
     :param link: the state.
     :param size: its bytes.
     """
-    return expect_transfer(link, size) >= LARGE_S
+    return expect_transfer(link, size) >= LARGE_TRANSFER_S
 
 
 def has_room(link: Link, promised: float, now: float) -> bool:
@@ -69,4 +69,4 @@
     :param promised: bytes of answers that are being made.
     :param now: seconds on the node's clock.
     """
-    return predict_backlog(link, promised, now) <= MOST_BACKLOG_S
+    return predict_backlog(link, promised, now) <= MAX_BACKLOG_S
--- a/src/ebonyvalve/process/load/heat.py
+++ b/src/ebonyvalve/process/load/rates.py
@@ -8,15 +8,15 @@
 # Hot keys change within seconds; a shorter memory would follow single requests.
 MEMORY_S = 2.0
 # A key with less than this rate says nothing and is forgotten.
-LEAST_RATE = 0.02
+MIN_RATE = 0.02
 COMPACT_S = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
-class Heat:
+class KeyRates:
     """Decayed counts by key, all as of ``at`` in seconds on the node's clock."""
 
-    at: float
+    updated_at: float
     counts: dict[int, float] = dataclasses.field(default_factory=dict)
     # Counts are kept multiplied by this, so that decay costs one multiplication for all.
     scale: float = 1.0
@@ -24,7 +24,7 @@
     compacted_at: float = float("-inf")
 
 
-def note(heat: Heat, slot: int, now: float, weight: float = 1.0) -> None:
+def record(heat: KeyRates, slot: int, now: float, weight: float = 1.0) -> None:
     """Count one request.
 
     :param heat: the state.
@@ -37,7 +37,7 @@
     heat.total += weight * heat.scale
 
 
-def read_rates(heat: Heat, now: float) -> dict[int, float]:
+def read_rates(heat: KeyRates, now: float) -> dict[int, float]:
     """Return requests a second by key.
 
     :param heat: the state.
@@ -49,7 +49,7 @@
     return {slot: count * factor for slot, count in heat.counts.items()}
 
 
-def read_total(heat: Heat, now: float) -> float:
+def read_total(heat: KeyRates, now: float) -> float:
     """Return requests a second for all keys of the target.
 
     :param heat: the state.
@@ -59,7 +59,7 @@
     return heat.total / (heat.scale * MEMORY_S)
 
 
-def keep(heat: Heat, held: collections.abc.Sequence[tuple[int, int]]) -> None:
+def retain(heat: KeyRates, held: collections.abc.Sequence[tuple[int, int]]) -> None:
     """Drop the keys that the target no longer holds.
 
     :param heat: the state.
@@ -75,19 +75,19 @@
     heat.total = sum(kept.values())
 
 
-def _decay(heat: Heat, now: float) -> None:
-    elapsed_s = now - heat.at
+def _decay(heat: KeyRates, now: float) -> None:
+    elapsed_s = now - heat.updated_at
     if elapsed_s <= 0:
         return
-    heat.at = now
+    heat.updated_at = now
     heat.scale *= math.exp(min(elapsed_s, 100 * MEMORY_S) / MEMORY_S)
     if heat.scale > 1e9 or now - heat.compacted_at > COMPACT_S:
         heat.compacted_at = now
         _compact(heat)
 
 
-def _compact(heat: Heat) -> None:
-    least = LEAST_RATE * MEMORY_S
+def _compact(heat: KeyRates) -> None:
+    least = MIN_RATE * MEMORY_S
     heat.counts = {
         slot: count / heat.scale
         for slot, count in heat.counts.items()
--- a/src/ebonyvalve/process/network.py
+++ b/src/ebonyvalve/process/network.py
@@ -30,7 +30,9 @@
     :raises OSError: which callers take for a refused connection.
     """
     if not decoding.is_address(address):
-        raise OSError(errno.EADDRNOTAVAIL, f"{address[: decoding.MOST_CAUSE]!r} is not host:port")
+        raise OSError(
+            errno.EADDRNOTAVAIL, f"{address[: decoding.MAX_CAUSE_CHARS]!r} is not host:port"
+        )
 
 
 async def connect_tcp(address: str) -> trio.abc.Stream:
--- a/src/ebonyvalve/process/node.py
+++ b/src/ebonyvalve/process/node.py
@@ -8,8 +8,8 @@
 
 from ebonyvalve.process import budget, decision, decoding, identity, member, place, timer
 from ebonyvalve.process.keyspace import grant, lease, ledger
-from ebonyvalve.process.load import choice, gate, heat, link, pace, policy
-from ebonyvalve.process.observation import tally
+from ebonyvalve.process.load import admission, lag, link, policy, rates, selection
+from ebonyvalve.process.observation import counters
 from ebonyvalve.process.store import table
 
 log = logging.getLogger(__name__)
@@ -25,7 +25,7 @@
     """
 
     lifetime: identity.Lifetime
-    born_ms: int
+    started_at_ms: int
     slots: int
     state: member.TargetState
     reported_at: float
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Book:
+class VersionedLedger:
     """The ledger of a service with the version of its row."""
 
     ledger: ledger.Ledger
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class OtherLease:
+class VersionedLease:
     """The lease of a node with the version of its row."""
 
     row: lease.LeaseRow
@@ -64,28 +64,32 @@
     wakeups: timer.Timer
     now: collections.abc.Callable[[], float]
     draw: collections.abc.Callable[[], float]
-    gate: gate.Gate
+    admission: admission.Controller
     grantor: grant.Grantor
     budget: budget.ServiceBudgets
-    heat: heat.Heat
-    behind: pace.Pace = dataclasses.field(default_factory=pace.Pace)
-    counted: tally.Tally = dataclasses.field(default_factory=tally.Tally)
+    key_rates: rates.KeyRates
+    loop_lag: lag.LoopLag = dataclasses.field(default_factory=lag.LoopLag)
+    request_counters: counters.Counters = dataclasses.field(default_factory=counters.Counters)
     config: identity.ConfigVersion | None = None
     # Why the newest configuration was not applied; empty if it was.
-    refused: tuple[str, ...] = ()
+    refusal_reasons: tuple[str, ...] = ()
     policies: dict[identity.ServiceId, policy.ServicePolicy] = dataclasses.field(
         default_factory=dict
     )
     evacuated: frozenset[identity.ZoneId] = frozenset()
     members: dict[identity.NodeId, member.Member] = dataclasses.field(default_factory=dict)
-    books: dict[identity.ServiceId, Book] = dataclasses.field(default_factory=dict)
-    views: dict[identity.NodeId, choice.View] = dataclasses.field(default_factory=dict)
-    leases: dict[identity.NodeId, OtherLease] = dataclasses.field(default_factory=dict)
-    unreadable: decoding.Unreadable = dataclasses.field(default_factory=decoding.Unreadable)
-    clock: lease.StoreClock | None = None
+    ledgers: dict[identity.ServiceId, VersionedLedger] = dataclasses.field(default_factory=dict)
+    target_views: dict[identity.NodeId, selection.TargetView] = dataclasses.field(
+        default_factory=dict
+    )
+    leases: dict[identity.NodeId, VersionedLease] = dataclasses.field(default_factory=dict)
+    unreadable_rows: decoding.UnreadableRows = dataclasses.field(
+        default_factory=decoding.UnreadableRows
+    )
+    store_clock: lease.StoreClock | None = None
     target: Target | None = None
     is_mesh_known: bool = False
-    is_operator_known: bool = False
+    is_operator_state_known: bool = False
     is_stopping: bool = False
     is_ending: bool = False
     closed_at: float = float("-inf")
@@ -96,21 +100,21 @@
     operator_version: int = 0
     operator_rows: dict[str, table.Row] = dataclasses.field(default_factory=dict)
     # Rows that were removed before this version are not among them.
-    operator_since: int = 0
+    operator_removals_since: int = 0
     # The version as of which all rows were last told at once; a missing one was removed before.
-    operator_whole: int = 0
+    operator_snapshot_version: int = 0
     # The store has told all of the operator's rows up to this version of its counter.
-    operator_reached: int = 0
-    named_version: int = 0
-    named_by: identity.NodeId | None = None
-    named: trio.Event = dataclasses.field(default_factory=trio.Event)
+    operator_read_version: int = 0
+    advertised_version: int = 0
+    advertised_by: identity.NodeId | None = None
+    advertised: trio.Event = dataclasses.field(default_factory=trio.Event)
     # Set when a follow of the operator's rows, or one of the others, is to be made anew: the store
     # may have news for which it has been waiting in vain, or its answer is not needed any more.
-    operator_recheck: trio.Event = dataclasses.field(default_factory=trio.Event)
-    recheck: trio.Event = dataclasses.field(default_factory=trio.Event)
+    operator_follow_restart: trio.Event = dataclasses.field(default_factory=trio.Event)
+    follow_restart: trio.Event = dataclasses.field(default_factory=trio.Event)
 
 
-def pulse(node: Node) -> None:
+def notify_changed(node: Node) -> None:
     """Wake everything that waits for a change of the node's state.
 
     :param node: the node.
@@ -123,33 +127,33 @@
     node.changed = trio.Event()
 
 
-def look_again(node: Node) -> None:
+def restart_follows(node: Node) -> None:
     """End the follows of the store that are under way, and begin them anew.
 
     A connection on which the store has lost an answer stays silent after its return.
 
     :param node: the node.
     """
-    node.recheck.set()
-    node.recheck = trio.Event()
-    look_for_orders(node)
+    node.follow_restart.set()
+    node.follow_restart = trio.Event()
+    restart_operator_follow(node)
 
 
-def look_for_orders(node: Node) -> None:
+def restart_operator_follow(node: Node) -> None:
     """End the follow of the operator's rows that is under way, and begin it anew.
 
     :param node: the node.
     """
-    node.operator_recheck.set()
-    node.operator_recheck = trio.Event()
+    node.operator_follow_restart.set()
+    node.operator_follow_restart = trio.Event()
 
 
-def is_behind(node: Node) -> bool:
+def is_operator_stale(node: Node) -> bool:
     """Return whether another node has applied newer rows of the operator.
 
     :param node: the node.
     """
-    return node.named_version > read_operator_version(node)
+    return node.advertised_version > read_operator_version(node)
 
 
 def read_operator_version(node: Node) -> int:
@@ -157,24 +161,24 @@
 
     :param node: the node.
     """
-    return max(node.operator_version, node.operator_reached)
+    return max(node.operator_version, node.operator_read_version)
 
 
-def note_named(node: Node, version: int, by: identity.NodeId | None = None) -> None:
+def record_advertised(node: Node, version: int, by: identity.NodeId | None = None) -> None:
     """Note the newest row of the operator that another node has applied.
 
     :param node: the node.
     :param version: its version in the store.
     :param by: the other node, if that is known.
     """
-    if version <= read_operator_version(node) or version < node.named_version:
+    if version <= read_operator_version(node) or version < node.advertised_version:
         return
-    if version > node.named_version:
-        node.named_version, node.named_by = version, by
-        node.named.set()
-        node.named = trio.Event()
-    elif node.named_by is None:
-        node.named_by = by
+    if version > node.advertised_version:
+        node.advertised_version, node.advertised_by = version, by
+        node.advertised.set()
+        node.advertised = trio.Event()
+    elif node.advertised_by is None:
+        node.advertised_by = by
 
 
 async def pause(node: Node, seconds: float) -> None:
@@ -225,32 +229,34 @@
     )
 
 
-def read_view(node: Node, name: identity.NodeId) -> choice.View:
+def read_view(node: Node, name: identity.NodeId) -> selection.TargetView:
     """Return what is known of another node's target.
 
     :param node: the node.
     :param name: the other node.
     """
-    view = node.views.get(name)
+    view = node.target_views.get(name)
     if view is None:
         known = node.members.get(name)
         slots = known.slots if known else 1
-        view = node.views[name] = choice.View(slots=slots, request_load=choice.FIRST_WORK_S / slots)
+        view = node.target_views[name] = selection.TargetView(
+            slots=slots, request_load=selection.INITIAL_WORK_S / slots
+        )
     return view
 
 
-def measure(node: Node) -> choice.Report:
+def measure_load(node: Node) -> selection.LoadReport:
     """Return the load of the target beside this node.
 
     :param node: the node.
     """
-    rate = heat.read_total(node.heat, node.now())
-    request_load = node.gate.usual_work_s / node.gate.slots
-    backlog_s = link.predict_backlog(node.gate.uplink, 0.0, node.now())
-    return choice.Report(
-        busy=len(node.gate.running) + len(node.gate.waiting),
-        slots=node.gate.slots,
-        work_s=node.gate.work_s + backlog_s,
+    rate = rates.read_total(node.key_rates, node.now())
+    request_load = node.admission.usual_work_s / node.admission.slots
+    backlog_s = link.predict_backlog(node.admission.uplink, 0.0, node.now())
+    return selection.LoadReport(
+        busy=len(node.admission.running) + len(node.admission.waiting),
+        slots=node.admission.slots,
+        work_s=node.admission.work_s + backlog_s,
         offered=rate * request_load,
         request_load=request_load,
     )
@@ -261,18 +267,18 @@
 
     :param node: the node.
     """
-    measured = measure(node)
+    measured = measure_load(node)
     return {
-        "running": len(node.gate.running),
-        "queue_length": len(node.gate.waiting),
-        "link_backlog_seconds": link.predict_backlog(node.gate.uplink, 0.0, node.now()),
+        "running": len(node.admission.running),
+        "queue_length": len(node.admission.waiting),
+        "link_backlog_seconds": link.predict_backlog(node.admission.uplink, 0.0, node.now()),
         "work_seconds": measured.work_s,
-        "late_seconds": node.behind.late_s,
+        "late_seconds": node.loop_lag.late_s,
         "offered_load": measured.offered,
         "config_version": node.config or 0,
-        "config_refused": float(bool(node.refused)),
+        "config_refused": float(bool(node.refusal_reasons)),
         "members": len(node.members),
-        "unreadable_rows": len(node.unreadable.versions),
+        "unreadable_rows": len(node.unreadable_rows.versions),
         "target_open": float(is_open(node)),
         "granted_ranges": len(node.grantor.granted),
     }
@@ -293,7 +299,7 @@
     ]
 
 
-def note_silence(node: Node) -> None:
+def record_silence(node: Node) -> None:
     """Note whether the target has been without a report until its last hold ended.
 
     :param node: the node.
@@ -310,10 +316,10 @@
     decision.record(
         log, logging.INFO, "target-silent" if is_silent else "target-heard", target=target.lifetime
     )
-    pulse(node)
+    notify_changed(node)
 
 
-def describe(node: Node) -> member.Member | None:
+def build_member(node: Node) -> member.Member | None:
     """Return how this node announces itself, or ``None`` before its target has reported.
 
     :param node: the node.
@@ -345,20 +351,20 @@
     if before is None or before.lifetime != target.lifetime:
         known = find_policy(node, node.place.service)
         rate = known.cold_rate if known is not None else 0.0
-        node.gate.cold_rate = rate
-        gate.forget_work(node.gate)
+        node.admission.cold_rate = rate
+        admission.reset_work_times(node.admission)
         decision.record(log, logging.INFO, "target-started", target=target.lifetime)
     elif before.state is not target.state:
         decision.record(
             log, logging.INFO, "target-state", target=target.lifetime, state=target.state
         )
     node.target = target
-    node.gate.slots = target.slots
-    gate.note_cold(node.gate, node.now() + cold_left_s)
-    pulse(node)
+    node.admission.slots = target.slots
+    admission.record_cold(node.admission, node.now() + cold_left_s)
+    notify_changed(node)
 
 
-def set_gone(node: Node, reason: str, *, is_dead: bool) -> None:
+def set_target_gone(node: Node, reason: str, *, is_dead: bool) -> None:
     """Note that the target is gone.
 
     :param node: the node.
@@ -374,7 +380,7 @@
     decision.record(
         log, logging.INFO, "target-gone", target=target.lifetime, reason=reason, is_dead=is_dead
     )
-    pulse(node)
+    notify_changed(node)
 
 
 def set_config(
@@ -388,11 +394,11 @@
     :param version: its version, higher than the present one.
     :param policies: its services.
     """
-    node.config, node.policies, node.refused = version, policies, ()
+    node.config, node.policies, node.refusal_reasons = version, policies, ()
     own = find_policy(node, node.place.service)
     if own is not None:
-        node.gate.cold_rate = own.cold_rate
-    pulse(node)
+        node.admission.cold_rate = own.cold_rate
+    notify_changed(node)
 
 
 def set_evacuated(node: Node, zones: frozenset[identity.ZoneId]) -> None:
@@ -406,6 +412,6 @@
     own = node.place.zone
     known = find_policy(node, node.place.service)
     if own in node.evacuated and own not in zones and known is not None:
-        gate.note_cold(node.gate, node.now() + known.cold_s)
+        admission.record_cold(node.admission, node.now() + known.cold_s)
     node.evacuated = zones
-    pulse(node)
+    notify_changed(node)
--- a/src/ebonyvalve/process/observation/tally.py
+++ b/src/ebonyvalve/process/observation/counters.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Tally:
+class Counters:
     """What was counted since the start.
 
     ``requests`` by service, outcome and reason; ``latency`` by service, one count for each bound
@@ -26,7 +26,7 @@
     latency_s: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
 
-def count(tally: Tally, service: str, outcome: str, reason: str, took_s: float) -> None:
+def count(tally: Counters, service: str, outcome: str, reason: str, took_s: float) -> None:
     """Count the end of a request.
 
     :param tally: the counters.
@@ -41,7 +41,7 @@
     tally.latency_s[service] += took_s  # type: ignore[assignment]
 
 
-def render(tally: Tally, gauges: collections.abc.Mapping[str, float]) -> bytes:
+def render(tally: Counters, gauges: collections.abc.Mapping[str, float]) -> bytes:
     """Return everything as text.
 
     ``prometheus_client`` writes it; it is imported here because most processes are never asked.
--- a/src/ebonyvalve/process/observation/output.py
+++ b/src/ebonyvalve/process/observation/output.py
@@ -25,8 +25,8 @@
 
     descriptor: int
     now: collections.abc.Callable[[], float]
-    level: float = BURST_LINES
-    filled_at: float = 0.0
+    tokens: float = BURST_LINES
+    refilled_at: float = 0.0
     omitted: int = 0
     blocked: int = 0
     partial: bytes = b""
@@ -39,7 +39,7 @@
     :param now: returns the time in seconds.
     """
     os.set_blocking(descriptor, False)
-    return Output(descriptor=descriptor, now=now, filled_at=now())
+    return Output(descriptor=descriptor, now=now, refilled_at=now())
 
 
 def may_write(output: Output, event: str) -> bool:
@@ -51,12 +51,12 @@
     if event not in LIMITED_EVENTS:
         return True
     current = output.now()
-    output.level = min(BURST_LINES, output.level + (current - output.filled_at) * LINES_PER_S)
-    output.filled_at = current
-    if output.level < 1.0:
+    output.tokens = min(BURST_LINES, output.tokens + (current - output.refilled_at) * LINES_PER_S)
+    output.refilled_at = current
+    if output.tokens < 1.0:
         output.omitted += 1
         return False
-    output.level -= 1.0
+    output.tokens -= 1.0
     return True
 
 
--- a/src/ebonyvalve/process/place.py
+++ b/src/ebonyvalve/process/place.py
@@ -32,7 +32,7 @@
     reports_address: identity.Address
     store_address: identity.Address
     heartbeat_s: float
-    most_hold_s: float
+    max_hold_s: float
     drain_s: float
     grace_s: float
     retries: RetryAllowance
--- a/src/ebonyvalve/process/push.py
+++ b/src/ebonyvalve/process/push.py
@@ -13,10 +13,10 @@
 
 TIMEOUT_S = 0.5
 # Other nodes answer with a status only.
-ANSWER_BYTES = 1024
+MAX_ANSWER_BYTES = 1024
 
 
-def list_colleagues(node: node_module.Node) -> set[identity.NodeId]:
+def list_service_peers(node: node_module.Node) -> set[identity.NodeId]:
     """Return the other nodes of the own service.
 
     :param node: the node.
@@ -47,13 +47,15 @@
     async with trio.open_nursery() as nursery:
         for one in list(node.members.values()):
             if one.node in names:
-                nursery.start_soon(_send_one, connect, one.address, request)
+                nursery.start_soon(_send_to, connect, one.address, request)
 
 
-async def _send_one(
+async def _send_to(
     connect: network.Connect, address: identity.Address, request: http.Request
 ) -> None:
-    sent = await http.fetch(connect, address, request, timeout_s=TIMEOUT_S, most_bytes=ANSWER_BYTES)
+    sent = await http.fetch(
+        connect, address, request, timeout_s=TIMEOUT_S, most_bytes=MAX_ANSWER_BYTES
+    )
     if not isinstance(sent, result.Success):
         decision.record(
             log, logging.INFO, "push-failed", address=address, cause=sent.failure().value
--- a/src/ebonyvalve/process/signals.py
+++ b/src/ebonyvalve/process/signals.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-STOP = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -30,7 +30,7 @@
 async def open_receiver() -> collections.abc.AsyncIterator[Signals]:
     """Receive SIGTERM, SIGINT and SIGHUP until the block ends."""
     signals = Signals()
-    with trio.open_signal_receiver(*STOP, signal.SIGHUP) as numbers:
+    with trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as numbers:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_receive, signals, numbers)
             yield signals
@@ -40,7 +40,7 @@
 async def _receive(signals: Signals, numbers: collections.abc.AsyncIterator[int]) -> None:
     async for number in numbers:
         name = signal.Signals(number).name
-        if number not in STOP:
+        if number not in STOP_SIGNALS:
             decision.record(log, logging.INFO, "reload-requested", signal=name)
             signals.reload.set()
             signals.reload = trio.Event()
--- a/src/ebonyvalve/process/store/follow.py
+++ b/src/ebonyvalve/process/store/follow.py
@@ -8,7 +8,7 @@
 Found = typing.TypeVar("Found")
 
 
-async def interrupt(
+async def run_interruptible(
     call: collections.abc.Callable[[], collections.abc.Awaitable[Found]],
     wait: collections.abc.Callable[[], collections.abc.Awaitable[object]],
 ) -> Found | None:
--- a/src/ebonyvalve/process/store/table.py
+++ b/src/ebonyvalve/process/store/table.py
@@ -11,7 +11,7 @@
 MISSING = 0
 
 
-class Trouble(enum.Enum):
+class Failure(enum.Enum):
     """Why a call of the store gave no result."""
 
     # Nothing was done: refused, or no connection was made.
@@ -78,11 +78,11 @@
     the rows that changed after a version as soon as there is one.
     """
 
-    read: collections.abc.Callable[[TableName], collections.abc.Awaitable[Rows | Trouble]]
+    read: collections.abc.Callable[[TableName], collections.abc.Awaitable[Rows | Failure]]
     follow: collections.abc.Callable[
-        [TableName, int, float], collections.abc.Awaitable[Rows | Trouble]
+        [TableName, int, float], collections.abc.Awaitable[Rows | Failure]
     ]
     commit: collections.abc.Callable[
         [dict[Name, int], dict[Name, bytes | None]],
-        collections.abc.Awaitable[Committed | Conflict | Trouble],
+        collections.abc.Awaitable[Committed | Conflict | Failure],
     ]
--- a/src/ebonyvalve/process/survey.py
+++ b/src/ebonyvalve/process/survey.py
@@ -51,12 +51,12 @@
         zone=node.place.zone,
         service=node.place.service,
         config=node.config,
-        refused=node.refused,
+        refused=node.refusal_reasons,
         evacuated=tuple(sorted(node.evacuated)),
         keyed=tuple(sorted(name for name, known in node.policies.items() if known.is_keyed)),
         peers=tuple(describe(node, node.members[name]) for name in sorted(node.members)),
-        ledgers={name: book.ledger for name, book in node.books.items()},
-        versions={name: book.version for name, book in node.books.items()},
+        ledgers={name: book.ledger for name, book in node.ledgers.items()},
+        versions={name: book.version for name, book in node.ledgers.items()},
         gauges=node_module.list_gauges(node),
     )
 
@@ -68,7 +68,7 @@
     :param known: the target, as its node announces it.
     """
     if known.node == node.place.node:
-        return Peer(member=known, offered=node_module.measure(node).offered, load_age_s=0.0)
+        return Peer(member=known, offered=node_module.measure_load(node).offered, load_age_s=0.0)
     now = node.now()
     view = node_module.read_view(node, known.node)
     age_s = now - view.reported_at
@@ -90,7 +90,7 @@
     return known.state is member.TargetState.READY and known.zone not in survey.evacuated
 
 
-def tell_load(peer: Peer) -> str:
+def format_load(peer: Peer) -> str:
     """Return a target's load and how old that is, in words.
 
     :param peer: the target.
--- a/src/ebonyvalve/request/crash.py
+++ b/src/ebonyvalve/request/crash.py
@@ -11,7 +11,7 @@
 from ebonyvalve.connection import pool
 from ebonyvalve.process import decision, decoding, identity, network, push
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.load import suspicion
+from ebonyvalve.process.load import crashes
 from ebonyvalve.request import exchange, fingerprints
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
     node: node_module.Node
     pool: pool.Pool
     connect: network.Connect
-    quarantine: suspicion.Suspicion = dataclasses.field(default_factory=suspicion.Suspicion)
+    quarantine: crashes.Quarantine = dataclasses.field(default_factory=crashes.Quarantine)
     broken_requests: collections.deque[tuple[float, exchange.Call]] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -67,7 +67,7 @@
     # Hardly ever is there anything to compare with, so that requests pay nothing.
     if not detector.quarantine.crashes:
         return False
-    return suspicion.is_guilty(detector.quarantine, fingerprint(call), detector.node.now())
+    return crashes.is_quarantined(detector.quarantine, fingerprint(call), detector.node.now())
 
 
 def fingerprint(call: exchange.Call) -> identity.Fingerprint:
@@ -104,7 +104,7 @@
             continue
         current = detector.node.target
         if current is not None and current.lifetime == target.lifetime:
-            node_module.set_gone(detector.node, "refuses connections", is_dead=True)
+            node_module.set_target_gone(detector.node, "refuses connections", is_dead=True)
             await _report_crash(detector)
 
 
@@ -131,10 +131,10 @@
     detector.broken_requests.clear()
     if not suspects:
         return
-    suspicion.note_crash(detector.quarantine, suspects, now)
+    crashes.record_crash(detector.quarantine, suspects, now)
     decision.record(log, logging.WARNING, "target-crashed", suspects=len(suspects))
     # A node that is not told has one crash less to judge by.
-    names = push.list_colleagues(node)
+    names = push.list_service_peers(node)
     await push.send(node, detector.connect, names, CRASH_PATH, msgspec.json.encode(suspects))
 
 
@@ -150,5 +150,5 @@
         decision.record(log, logging.ERROR, "push-unreadable", path=CRASH_PATH, cause=cause)
         return False
     suspects = [identity.Fingerprint(name) for name in decoded.unwrap()]
-    suspicion.note_crash(detector.quarantine, suspects, detector.node.now())
+    crashes.record_crash(detector.quarantine, suspects, detector.node.now())
     return True
--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -12,7 +12,7 @@
 from ebonyvalve.process import decision, decoding, identity, timer
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process.keyspace import grant, ledger
-from ebonyvalve.process.load import gate, heat, pace
+from ebonyvalve.process.load import admission, lag, rates
 from ebonyvalve.request import attempt, correlation, crash, dispatch, exchange, outcome
 
 log = logging.getLogger(__name__)
@@ -64,8 +64,8 @@
     pool: pool.Pool
     dialect: Dialect
     crash_detector: crash.Detector
-    waiters: dict[gate.Ticket, trio.Event] = dataclasses.field(default_factory=dict)
-    expired: set[gate.Ticket] = dataclasses.field(default_factory=set)
+    waiters: dict[admission.Ticket, trio.Event] = dataclasses.field(default_factory=dict)
+    expired: set[admission.Ticket] = dataclasses.field(default_factory=set)
     # Around the orders under way, so that the end of the process can break them off.
     shields: set[trio.CancelScope] = dataclasses.field(default_factory=set)
 
@@ -89,7 +89,7 @@
 class SlotUse:
     """A request's use of one of the target's slots, from ``began_at`` on the node's clock."""
 
-    ticket: gate.Ticket
+    ticket: admission.Ticket
     route: str
     began_at: float
     is_released: bool = False
@@ -112,15 +112,15 @@
         return Completion(
             result=outcome.refuse(outcome.Reason.QUARANTINED), retry_after_s=QUARANTINE_RETRY_S
         )
-    demand = gate.Demand(
+    demand = admission.Demand(
         deadline_at=call.deadline_at_s,
         objective_s=rules.objective_s,
         priority=rules.priority,
         kind=rules.route,
     )
-    admitted = gate.admit(node.gate, demand, node.now())
-    heat.note(
-        node.heat,
+    admitted = admission.admit(node.admission, demand, node.now())
+    rates.record(
+        node.key_rates,
         UNKEYED if rules.key_slot is None else rules.key_slot,
         node.now(),
         weight=REFUSED_WEIGHT if admitted.ticket is None else 1.0,
@@ -129,11 +129,11 @@
         return Completion(
             result=outcome.refuse(outcome.Reason.QUEUE_FULL), retry_after_s=admitted.retry_after_s
         )
-    if admitted.verdict is gate.Verdict.WAIT and not await _wait_in_queue(
+    if admitted.verdict is admission.Verdict.WAIT and not await _wait_in_queue(
         delivery, admitted.ticket
     ):
         return Completion(
-            result=outcome.refuse(outcome.Reason.DEADLINE), retry_after_s=node.gate.work_s
+            result=outcome.refuse(outcome.Reason.DEADLINE), retry_after_s=node.admission.work_s
         )
     slot_use = SlotUse(ticket=admitted.ticket, route=rules.route, began_at=node.now())
     try:
@@ -153,7 +153,7 @@
     slot_use.is_released = True
     node = delivery.node
     work_s = node.now() - slot_use.began_at if is_answered else None
-    gate.release(node.gate, slot_use.ticket, work_s=work_s)
+    admission.release(node.admission, slot_use.ticket, work_s=work_s)
     wake(delivery)
 
 
@@ -184,7 +184,7 @@
             return None
         if key_refusal.result.reason is not outcome.Reason.LEASE_LAPSED or not may_wait:
             return key_refusal
-        remaining_s = call.deadline_at_s - node.now() - node.gate.work_s
+        remaining_s = call.deadline_at_s - node.now() - node.admission.work_s
         grant_delay_s = predict_grant_delay(node)
         if grant_delay_s > remaining_s:
             key_refusal.retry_after_s = grant_delay_s
@@ -209,17 +209,17 @@
 
 def _find_key_refusal(node: node_module.Node, key_slot: int) -> Completion | None:
     """Return why a key can't be served here, or ``None`` if it can."""
-    versioned_ledger = node.books.get(node.place.service)
+    versioned_ledger = node.ledgers.get(node.place.service)
     target = node.target
     if versioned_ledger is None or target is None:
         return Completion(result=outcome.refuse(outcome.Reason.NO_OWNER), retry_after_s=0.5)
-    span = ledger.find(versioned_ledger.ledger, key_slot)
+    span = ledger.find_span(versioned_ledger.ledger, key_slot)
     if span.holder == target.lifetime:
         if target.is_assumed or grant.is_granted(node.grantor, key_slot, node.now()):
             return None
-        if span.heir:
-            return _refuse_moved(span.heir_node)
-    elif span.heir != target.lifetime:
+        if span.successor:
+            return _refuse_moved(span.successor_node)
+    elif span.successor != target.lifetime:
         return _refuse_moved(span.node)
     return Completion(
         result=outcome.refuse(outcome.Reason.LEASE_LAPSED), retry_after_s=GRANT_RETRY_S
@@ -234,15 +234,15 @@
     )
 
 
-async def _wait_in_queue(delivery: Delivery, ticket: gate.Ticket) -> bool:
+async def _wait_in_queue(delivery: Delivery, ticket: admission.Ticket) -> bool:
     """Wait in the queue; return whether the request may run."""
     event = delivery.waiters[ticket] = trio.Event()
     try:
         await event.wait()
     except trio.Cancelled:
         if event.is_set() and ticket not in delivery.expired:
-            gate.release(delivery.node.gate, ticket, work_s=None)
-        gate.withdraw(delivery.node.gate, ticket)
+            admission.release(delivery.node.admission, ticket, work_s=None)
+        admission.withdraw(delivery.node.admission, ticket)
         delivery.expired.discard(ticket)
         wake(delivery)
         raise
@@ -259,7 +259,7 @@
 
     :param delivery: the state.
     """
-    woken = gate.wake(delivery.node.gate, delivery.node.now())
+    woken = admission.dequeue(delivery.node.admission, delivery.node.now())
     for ticket in woken.late:
         delivery.expired.add(ticket)
     for ticket in (*woken.run, *woken.late):
@@ -276,10 +276,10 @@
     ticks = timer.subscribe(delivery.node.wakeups, period_s=QUEUE_CHECK_INTERVAL_S)
     while True:
         due_at = ticks.next_at
-        pace.note_wake_up(
-            delivery.node.behind, await timer.tick(delivery.node.wakeups, ticks) - due_at
+        lag.record_wake_up(
+            delivery.node.loop_lag, await timer.tick(delivery.node.wakeups, ticks) - due_at
         )
-        if delivery.node.gate.waiting:
+        if delivery.node.admission.waiting:
             wake(delivery)
 
 
@@ -301,7 +301,9 @@
             return None
         # The target has done its work. How long the answer takes is up to the links.
         size = wire.find_header(headers, b"content-length") or b""
-        gate.note_answer(node.gate, slot_use.route, decoding.read_count(size), node.now())
+        admission.record_answer(
+            node.admission, slot_use.route, decoding.read_count(size), node.now()
+        )
         _release_slot(delivery, slot_use, is_answered=True)
         return dispatch.filter_headers(headers)
 
@@ -317,7 +319,9 @@
     with _shield_unrepeatable(delivery, call):
         await attempt.run(context, call, caller, node.now, attempt_result)
     if attempt_result.attempt.step is dispatch.Step.RELAYED:
-        gate.note_size(node.gate, slot_use.route, attempt_result.attempt.body_bytes)
+        admission.record_answer_size(
+            node.admission, slot_use.route, attempt_result.attempt.body_bytes
+        )
     if attempt_result.failure is pool.PoolFailure.REFUSED:
         crash.record_refused_connection(delivery.crash_detector)
         return Completion(result=outcome.refuse(outcome.Reason.NO_TARGET), retry_after_s=0.3)
@@ -381,5 +385,5 @@
             result=outcome.refuse(outcome.Reason.STALE_FENCE), retry_after_s=GRANT_RETRY_S
         )
     return Completion(
-        result=outcome.refuse(outcome.Reason.TARGET_SHED), retry_after_s=node.gate.work_s
+        result=outcome.refuse(outcome.Reason.TARGET_SHED), retry_after_s=node.admission.work_s
     )
--- a/src/ebonyvalve/request/explanation.py
+++ b/src/ebonyvalve/request/explanation.py
@@ -44,11 +44,11 @@
 def _explain_owner(
     node: node_module.Node, service: identity.ServiceId, key_slot: int
 ) -> collections.abc.Iterator[str]:
-    versioned_ledger = node.books.get(service)
+    versioned_ledger = node.ledgers.get(service)
     if versioned_ledger is None:
         yield "  its ledger is not known: 503"
         return
-    span = ledger.find(versioned_ledger.ledger, key_slot)
+    span = ledger.find_span(versioned_ledger.ledger, key_slot)
     yield (
         f"  key {key_slot} is in {span.first} to {span.last} of ledger {versioned_ledger.version}, "
         f"fence {span.fence}"
@@ -57,8 +57,8 @@
         yield "  the range has no holder: 503"
         return
     yield f"  held by target {span.holder} beside {span.node}"
-    if span.heir:
-        yield f"  it is moving to target {span.heir} beside {span.heir_node}"
+    if span.successor:
+        yield f"  it is moving to target {span.successor} beside {span.successor_node}"
     known = node.members.get(identity.NodeId(span.node))
     if known is None:
         yield f"  {span.node} is not announced: 503 until its lease has ended"
@@ -90,4 +90,4 @@
     if known.node == node.place.node:
         yield f"{says}, beside this node, load {peer.offered:.2f}"
     else:
-        yield f"{says}, {survey.tell_load(peer)}"
+        yield f"{says}, {survey.format_load(peer)}"
--- a/src/ebonyvalve/request/hop_headers.py
+++ b/src/ebonyvalve/request/hop_headers.py
@@ -5,7 +5,7 @@
 from ebonyvalve.connection import wire
 from ebonyvalve.process import decision, decoding, identity
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.load import choice, pace
+from ebonyvalve.process.load import lag, selection
 from ebonyvalve.request import delivery, exchange, outcome
 
 log = logging.getLogger(__name__)
@@ -41,7 +41,7 @@
     said = VERDICTS.get(verdict)
     why = REASONS.get(reason)
     retry_after = wire.find_header(headers, RETRY_AFTER_HEADER) or b"0"
-    retry_after_s = decoding.read_number(retry_after, most=MAX_RETRY_AFTER_S)
+    retry_after_s = decoding.read_number(retry_after, max_value=MAX_RETRY_AFTER_S)
     named = wire.find_header(headers, OWNER_HEADER)
     owner = decoding.read_name(named) if named else ""
     if said is None or why is None or retry_after_s is None or owner is None:
@@ -119,7 +119,7 @@
         return None
     repeatable, attempts, priority, objective_ms, key, kind = fields
     numbers = [decoding.read_count(text) for text in (attempts, priority, objective_ms)]
-    key_slot = decoding.read_count(key, most=identity.LAST_SLOT)
+    key_slot = decoding.read_count(key, max_value=identity.LAST_SLOT)
     if None in numbers or (key and key_slot is None):
         return None
     max_attempts, rank, goal_ms = (number or 0 for number in numbers)
@@ -134,7 +134,7 @@
     )
 
 
-def record_load(view: choice.View, headers: exchange.Headers, now: float) -> None:
+def record_load(view: selection.TargetView, headers: exchange.Headers, now: float) -> None:
     """Note the load that another node tells of its target; one that can't be read says nothing.
 
     :param view: what is known of the target.
@@ -144,21 +144,21 @@
     fields = (wire.find_header(headers, LOAD_HEADER) or b"").split(b",")
     if len(fields) != LOAD_FIELDS:
         return
-    busy = decoding.read_count(fields[0], most=decoding.MOST_SLOTS)
-    slots = decoding.read_count(fields[1], most=decoding.MOST_SLOTS)
-    work_ms = decoding.read_count(fields[2], most=MAX_WORK_MS)
-    offered = decoding.read_number(fields[3], most=decoding.MOST_LOAD)
-    request_load = decoding.read_number(fields[4], most=decoding.MOST_LOAD)
+    busy = decoding.read_count(fields[0], max_value=decoding.MAX_SLOTS)
+    slots = decoding.read_count(fields[1], max_value=decoding.MAX_SLOTS)
+    work_ms = decoding.read_count(fields[2], max_value=MAX_WORK_MS)
+    offered = decoding.read_number(fields[3], max_value=decoding.MAX_LOAD)
+    request_load = decoding.read_number(fields[4], max_value=decoding.MAX_LOAD)
     if busy is None or not slots or not work_ms or offered is None or request_load is None:
         return
-    report = choice.Report(
+    report = selection.LoadReport(
         busy=busy,
         slots=slots,
         work_s=work_ms / 1000,
         offered=offered,
         request_load=request_load,
     )
-    choice.note_load(view, report, now)
+    selection.record_load(view, report, now)
 
 
 def build_version_header(node: node_module.Node) -> exchange.Headers:
@@ -180,7 +180,7 @@
     """
     version = decoding.read_count(wire.find_header(headers, VERSION_HEADER) or b"")
     if version is not None:
-        node_module.note_named(node, version, by)
+        node_module.record_advertised(node, version, by)
 
 
 def build_load_headers(node: node_module.Node) -> exchange.Headers:
@@ -188,8 +188,8 @@
 
     :param node: the node.
     """
-    load = node_module.measure(node)
+    load = node_module.measure_load(node)
     # A node that is behind answers late however fast its target is.
-    work_ms = max(1, int((load.work_s + pace.expect_own(node.behind)) * 1000))
+    work_ms = max(1, int((load.work_s + lag.expect_delay(node.loop_lag)) * 1000))
     value = f"{load.busy},{load.slots},{work_ms},{load.offered:.3f},{load.request_load:.5f}"
     return [(LOAD_HEADER, value.encode()), *build_version_header(node)]
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -11,8 +11,8 @@
 from ebonyvalve.process import budget, decision, identity
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process.keyspace import ledger
-from ebonyvalve.process.load import choice, link, pace
-from ebonyvalve.process.observation import tally
+from ebonyvalve.process.load import lag, link, selection
+from ebonyvalve.process.observation import counters
 from ebonyvalve.request import (
     attempt,
     buffering,
@@ -99,7 +99,7 @@
     timeout_s = route.timeout_s if head.timeout_s is None else min(route.timeout_s, head.timeout_s)
     call.service = service
     call.deadline_at_s = call.arrived_at_s + timeout_s
-    if not pace.can_serve(node.behind, call.deadline_at_s - node.now()):
+    if not lag.can_serve(node.loop_lag, call.deadline_at_s - node.now()):
         return outcome.refuse(outcome.Reason.BEHIND)
     call.rules = exchange.Rules(
         is_repeatable=route.repeatability is traffic.Repeatability.IDEMPOTENT,
@@ -155,7 +155,7 @@
 
     Its deadline counts from when it was read, because nothing says when it was sent.
     """
-    return pace.is_behind(node.behind) and caller.is_gone()
+    return lag.is_lagging(node.loop_lag) and caller.is_gone()
 
 
 async def _run_cancellable(
@@ -266,7 +266,7 @@
     if excluded and all(view.avoid_until > now for view in views.values()):
         return None
     same_zone = {name for name, one in candidates.items() if one.zone == node.place.zone}
-    return choice.choose(views, same_zone, now, node.draw)
+    return selection.choose(views, same_zone, now, node.draw)
 
 
 def _find_owner(
@@ -277,10 +277,10 @@
     owner: identity.NodeId | None,
 ) -> identity.NodeId | None:
     """Return where a key is served: at the node that another one has named, or by the ledger."""
-    versioned_ledger = node.books.get(service)
+    versioned_ledger = node.ledgers.get(service)
     if versioned_ledger is None:
         return None
-    name = owner or identity.NodeId(ledger.find(versioned_ledger.ledger, key_slot).node)
+    name = owner or identity.NodeId(ledger.find_span(versioned_ledger.ledger, key_slot).node)
     return name if name in node.members or name == node.place.node else None
 
 
@@ -303,7 +303,7 @@
     try:
         if name == node.place.node:
             completion = await delivery.run(origin.delivery, call, caller)
-            choice.note_load(view, node_module.measure(node), node.now())
+            selection.record_load(view, node_module.measure_load(node), node.now())
         else:
             completion = await _forward(origin, call, caller, name, view)
     finally:
@@ -312,7 +312,7 @@
         completion.result.reason in LASTING_REFUSALS
         and completion.result.verdict is outcome.Verdict.NOT_RUN
     ):
-        choice.note_refusal(view, completion.retry_after_s, node.now())
+        selection.record_refusal(view, completion.retry_after_s, node.now())
     return completion
 
 
@@ -321,7 +321,7 @@
     call: exchange.Call,
     caller: exchange.Caller,
     name: identity.NodeId,
-    view: choice.View,
+    view: selection.TargetView,
 ) -> delivery.Completion:
     node = origin.node
     peer = node.members.get(name)
@@ -354,9 +354,9 @@
         return refusals[0]
     completion = attempt.conclude(attempt_result)
     # Answers to this node's own callers share its link with those of its target.
-    link.note_sent(node.gate.uplink, attempt_result.attempt.body_bytes, node.now())
+    link.record_sent(node.admission.uplink, attempt_result.attempt.body_bytes, node.now())
     if attempt.suggests_peer_loss(attempt_result):
-        choice.note_failure(view, node.now())
+        selection.record_failure(view, node.now())
     return delivery.Completion(
         result=completion.result, is_answered=completion.is_answered, retry_after_s=RETRY_AFTER_S
     )
@@ -382,7 +382,7 @@
             status, hop_headers.strip_headers(headers) + hop_headers.build_load_headers(node)
         )
 
-    if not pace.can_serve(node.behind, call.deadline_at_s - started_at):
+    if not lag.can_serve(node.loop_lag, call.deadline_at_s - started_at):
         completion = delivery.Completion(
             result=outcome.refuse(outcome.Reason.BEHIND), retry_after_s=RETRY_AFTER_S
         )
@@ -460,10 +460,12 @@
     node = origin.node
     is_answered = result.verdict is outcome.Verdict.ANSWERED
     took_s = node.now() - started_at
-    tally.count(node.counted, call.service, result.verdict.value, result.reason.value, took_s)
+    counters.count(
+        node.request_counters, call.service, result.verdict.value, result.reason.value, took_s
+    )
     if is_answered and not log.isEnabledFor(logging.DEBUG):
         return
-    versioned_ledger = node.books.get(call.service)
+    versioned_ledger = node.ledgers.get(call.service)
     decision.record(
         log,
         logging.DEBUG if is_answered else logging.INFO,
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -14,7 +14,7 @@
 from ebonyvalve.connection import liveness, pool
 from ebonyvalve.process import decision, http, identity, network
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.load import choice, pace
+from ebonyvalve.process.load import lag, selection
 
 log = logging.getLogger(__name__)
 
@@ -102,7 +102,7 @@
     is sending, and a frozen node accepts connections at once.
     """
     # Answers that have come are read late when this process is behind.
-    timeout_s = PING_TIMEOUT_S + min(ABORT_ALL_AFTER_S, pace.expect_own(monitor.node.behind))
+    timeout_s = PING_TIMEOUT_S + min(ABORT_ALL_AFTER_S, lag.expect_delay(monitor.node.loop_lag))
     stream: trio.abc.Stream | None = None
     with trio.move_on_after(timeout_s):
         try:
@@ -153,7 +153,7 @@
     if is_answered or pool.has_progressed(monitor.peers, address, sent_at):
         monitor.answered_at[name] = monitor.node.now()
         if monitor.unreachable.pop(name, None) is not None:
-            choice.note_alive(node_module.read_view(monitor.node, name))
+            selection.record_reachable(node_module.read_view(monitor.node, name))
             decision.record(log, logging.INFO, "peer-regained", peer=name)
         return
     unreachable_s = record_unreachable(monitor, name, "no answer to a ping")
@@ -175,5 +175,5 @@
     since = monitor.unreachable.setdefault(name, now)
     if since == now:
         decision.record(log, logging.WARNING, "peer-lost", peer=name, reason=reason)
-    choice.note_lost(node_module.read_view(monitor.node, name), now)
+    selection.record_unreachable(node_module.read_view(monitor.node, name), now)
     return now - since
--- a/src/ebonyvalve/version/impact.py
+++ b/src/ebonyvalve/version/impact.py
@@ -123,14 +123,14 @@
     ]
     after = book
     for peer in leaving:
-        after = ledger.order_exit(after, peer.member.lifetime, candidates)
+        after = ledger.plan_exit(after, peer.member.lifetime, candidates)
     gained: collections.Counter[str] = collections.Counter()
     for span in after.spans:
-        if span.heir and ledger.find(book, span.first).heir != span.heir:
-            gained[span.heir] += span.last - span.first + 1
+        if span.successor and ledger.find_span(book, span.first).successor != span.successor:
+            gained[span.successor] += span.last - span.first + 1
             yield (
                 f"service {service}: keys {span.first} to {span.last} from {span.node} "
-                f"to {span.heir_node}"
+                f"to {span.successor_node}"
             )
     for peer in staying:
         held = ledger.list_held(book, peer.member.lifetime)
--- a/tests/places.py
+++ b/tests/places.py
@@ -26,7 +26,7 @@
         reports_address=here,
         store_address=identity.Address(store),
         heartbeat_s=heartbeat_s,
-        most_hold_s=10.0,
+        max_hold_s=10.0,
         drain_s=2.0,
         grace_s=6.0,
         retries=place.RetryAllowance(),
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -8,7 +8,7 @@
 import trio
 
 from ebonyvalve.process import network
-from ebonyvalve.process.load import pace
+from ebonyvalve.process.load import lag
 from tests.platform import mesh as mesh_module
 
 LONG = b"x" * 6000
@@ -118,7 +118,7 @@
         await wait_for(lambda: one.running == one.slots)
         queued = await network.connect_tcp(mesh.outbound[node])
         await queued.send_all(build_request(method, path, "queued", body))
-        await wait_for(lambda: len(mesh.daemons[node].node.gate.waiting) == 1)
+        await wait_for(lambda: len(mesh.daemons[node].node.admission.waiting) == 1)
         await queued.aclose()
         await wait_for(lambda: one.running == 0)
         await trio.sleep(0.2)
@@ -144,7 +144,7 @@
 ) -> None:
     """Targets were told of more time than the caller had left, after a node had stood still."""
     # How far the node is behind decides on the request before.
-    monkeypatch.setattr(pace, "can_serve", lambda *_: True)
+    monkeypatch.setattr(lag, "can_serve", lambda *_: True)
     async with mesh_module.open_mesh(["orders", "lookup"]) as mesh:
         await warm_up(mesh)
         one = mesh.targets[0]
--- a/tests/platform/test_news.py
+++ b/tests/platform/test_news.py
@@ -21,8 +21,8 @@
 TELLER = test_origin.NAMES[2]
 
 
-async def refuse_commit(*_: object) -> table.Trouble:
-    return table.Trouble.UNAVAILABLE
+async def refuse_commit(*_: object) -> table.Failure:
+    return table.Failure.UNAVAILABLE
 
 
 async def fail_to_connect(asked: list[str], address: str) -> trio.abc.Stream:
@@ -37,10 +37,10 @@
         version = max(row.version for row in rows)
         return table.Rows(rows=tuple(rows), version=version, clock=None)
 
-    async def follow(*_: object) -> table.Trouble:
+    async def follow(*_: object) -> table.Failure:
         follows.append(trio.current_time())
         await trio.sleep(0.004)
-        return table.Trouble.UNAVAILABLE
+        return table.Failure.UNAVAILABLE
 
     return table.Store(read=read, follow=follow, commit=refuse_commit)
 
@@ -210,14 +210,14 @@
         functools.partial(fail_to_connect, asked),
     )
     apply(node, test_operator.build_row("config", 4, mesh_module.build_config(2)), is_whole=True)
-    before = node.recheck
-    node_module.note_named(node, 9, TELLER)
+    before = node.follow_restart
+    node_module.record_advertised(node, 9, TELLER)
     await trio.sleep(0.01)
     apply(node, test_operator.build_row("config", 9, mesh_module.build_config(7)))
     await trio.sleep(1.0)
     assert asked == []
     # The follow of members and ledgers goes on.
-    assert node.recheck is before
+    assert node.follow_restart is before
 
 
 async def test_teller_that_can_not_be_reached_is_not_asked_again_and_again(
@@ -233,7 +233,7 @@
         traffic.CurrentTraffic(),
         functools.partial(fail_to_connect, asked),
     )
-    node_module.note_named(node, 9, TELLER)
+    node_module.record_advertised(node, 9, TELLER)
     await trio.sleep(2.0)
     assert 3 <= len(asked) <= 8
     assert asked[0] == f"{TELLER}:1"
--- a/tests/platform/test_operator.py
+++ b/tests/platform/test_operator.py
@@ -47,8 +47,8 @@
             await trio.sleep(wait_s)
         return table.Rows(rows=newer, version=max(row.version for row in rows), clock=None)
 
-    async def commit(*_: object) -> table.Trouble:
-        return table.Trouble.UNAVAILABLE
+    async def commit(*_: object) -> table.Failure:
+        return table.Failure.UNAVAILABLE
 
     return table.Store(read=read, follow=follow, commit=commit), lambda: version[0]
 
@@ -80,13 +80,13 @@
     silent[0] = False
     await trio.sleep(1.0)
     assert node.config == 2
-    node_module.note_named(node, 10)
+    node_module.record_advertised(node, 10)
     await trio.sleep(0.1)
     assert node.config == 7
     assert node.evacuated == {"z2"}
-    before = node.named
-    node_module.note_named(node, 10)
-    assert node.named is before
+    before = node.advertised
+    node_module.record_advertised(node, 10)
+    assert node.advertised is before
 
 
 async def test_versions_never_go_back(autojump_clock: trio.testing.MockClock) -> None:
@@ -166,7 +166,7 @@
     for _ in range(3):
         operator.apply(node, current, table.Rows(rows=rows, version=3, clock=None), is_whole=False)
     assert node.config == 1
-    assert node.refused
+    assert node.refusal_reasons
     assert node.evacuated == {"z2"}
     logged = [entry for entry in caplog.records if entry.message == "configuration-refused"]
     assert len(logged) == 1
@@ -198,13 +198,13 @@
     nursery.start_soon(operator.follow, node, current, store)
     nursery.start_soon(gossip.pull_updates, node, current, fail_to_connect)
     await trio.sleep(0.1)
-    node_module.note_named(node, 2**52)
+    node_module.record_advertised(node, 2**52)
     await trio.sleep(operator.FOLLOW_WAIT_S + 0.1)
     silent[0] = True
     await trio.sleep(operator.FOLLOW_WAIT_S)
     rows[:] = [build_row("config", 9, mesh_module.build_config(7))]
     silent[0] = False
-    node_module.note_named(node, 9)
+    node_module.record_advertised(node, 9)
     await trio.sleep(0.1)
     assert node.config == 7
 
@@ -229,7 +229,7 @@
     nursery.start_soon(gossip.pull_updates, node, traffic.CurrentTraffic(), fail_to_connect)
     for _ in range(50):
         await trio.sleep(0.1)
-        node_module.note_named(node, 20)
+        node_module.record_advertised(node, 20)
     assert asked[0] <= 3
 
 
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -14,7 +14,7 @@
 def test_good_settings() -> None:
     """Fields that are not known are ignored; bounds may be true or false."""
     place = settings.decode(GOOD)
-    assert (place.node, place.service, place.most_hold_s) == ("n1", "orders", 10.0)
+    assert (place.node, place.service, place.max_hold_s) == ("n1", "orders", 10.0)
     assert place.target_address == "127.0.0.1:5"
     assert place.retries.ratio == 0.2
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -102,24 +102,24 @@
     metadata.put(setup.state, TABLE, "a", b"one")
     metadata.put(setup.state, TABLE, "a", b"two")
     metadata.compact(setup.state)
-    assert await setup.store.follow(TABLE, 1, 1.0) is table.Trouble.HISTORY_GONE
+    assert await setup.store.follow(TABLE, 1, 1.0) is table.Failure.HISTORY_GONE
 
 
 @pytest.mark.parametrize(
     ("fault", "trouble", "is_applied"),
     [
-        (metadata.Fault.BUSY, table.Trouble.UNAVAILABLE, False),
-        (metadata.Fault.LIMIT, table.Trouble.UNAVAILABLE, False),
-        (metadata.Fault.SILENT, table.Trouble.UNKNOWN, False),
-        (metadata.Fault.LOST, table.Trouble.UNKNOWN, True),
-        (metadata.Fault.LATE, table.Trouble.UNKNOWN, True),
+        (metadata.Fault.BUSY, table.Failure.UNAVAILABLE, False),
+        (metadata.Fault.LIMIT, table.Failure.UNAVAILABLE, False),
+        (metadata.Fault.SILENT, table.Failure.UNKNOWN, False),
+        (metadata.Fault.LOST, table.Failure.UNKNOWN, True),
+        (metadata.Fault.LATE, table.Failure.UNKNOWN, True),
     ],
 )
 async def test_what_is_known_after_a_fault(
     nursery: trio.Nursery,
     autojump_clock: trio.testing.MockClock,
     fault: metadata.Fault,
-    trouble: table.Trouble,
+    trouble: table.Failure,
     is_applied: bool,
 ) -> None:
     """Only a refusal says that nothing was done; after no answer a write may be applied."""
@@ -142,7 +142,7 @@
         raise OSError("refused")
 
     client = store.Client(address="10.0.0.1:1", connect=connect, now=trio.current_time)
-    assert await store.open_store(client).read(TABLE) is table.Trouble.UNAVAILABLE
+    assert await store.open_store(client).read(TABLE) is table.Failure.UNAVAILABLE
 
 
 GOOD_ROW = {"table": "mesh", "part": "", "key": "a", "value": "b25l", "ver": 5}
@@ -218,7 +218,7 @@
     """Without its version, the node can't know what it has seen."""
     client = build_client()
     answer = store.Answer(status=200, body=body, asked_at=0.0, answered_at=0.1)
-    assert store._decode_rows(client, answer) is table.Trouble.UNKNOWN
+    assert store._decode_rows(client, answer) is table.Failure.UNKNOWN
 
 
 @hypothesis.given(
@@ -234,7 +234,7 @@
     """An exception here ended the process."""
     client = build_client()
     answer = store.Answer(status=200, body=body, asked_at=0.0, answered_at=0.1)
-    assert isinstance(store._decode_rows(client, answer), table.Rows | table.Trouble)
+    assert isinstance(store._decode_rows(client, answer), table.Rows | table.Failure)
 
 
 async def test_unasked_answer_of_the_store_is_not_taken_for_the_next(
@@ -305,7 +305,7 @@
 
     client = store.Client(address="10.0.0.1:1", connect=connect, now=trio.current_time)
     calls = store.open_store(client)
-    read: table.Rows | table.Trouble | None = None
+    read: table.Rows | table.Failure | None = None
     with trio.CancelScope() as scope:
 
         async def watch() -> None:
@@ -315,7 +315,7 @@
 
         nursery.start_soon(watch)
         read = await calls.read(TABLE)
-    assert read is table.Trouble.UNKNOWN
+    assert read is table.Failure.UNKNOWN
     assert asked <= store.MAX_PAGES
     nursery.cancel_scope.cancel()
 
@@ -330,7 +330,7 @@
 def test_answer_with_another_status_says_nothing(status: int, body: bytes) -> None:
     """It passed for a table without rows, and after a write for one that was done."""
     answer = store.Answer(status=status, body=body, asked_at=0.0, answered_at=0.1)
-    assert store._decode_rows(build_client(), answer) is table.Trouble.UNKNOWN
+    assert store._decode_rows(build_client(), answer) is table.Failure.UNKNOWN
 
 
 @pytest.mark.parametrize("status", [201, 400, 404, 500])
@@ -349,4 +349,4 @@
 
     client = store.Client(address="10.0.0.1:1", connect=connect, now=trio.current_time)
     done = await store.open_store(client).commit({name_row("a"): 0}, {name_row("a"): b"one"})
-    assert done is table.Trouble.UNKNOWN
+    assert done is table.Failure.UNKNOWN
--- a/tests/platform/test_tool.py
+++ b/tests/platform/test_tool.py
@@ -80,7 +80,7 @@
         node = world.ready[0]
 
         async def has_keys() -> bool:
-            book = world.daemons[0].node.books.get(identity.ServiceId(mesh.KEYED))
+            book = world.daemons[0].node.ledgers.get(identity.ServiceId(mesh.KEYED))
             return book is not None and len(world.daemons[0].node.members) == 3
 
         await mesh.poll(has_keys)
--- a/tests/process/keyspace/test_calls.py
+++ b/tests/process/keyspace/test_calls.py
@@ -13,7 +13,7 @@
 import trio.testing
 
 from ebonyvalve.process import identity
-from ebonyvalve.process.keyspace import ledger, records, steward
+from ebonyvalve.process.keyspace import ledger, reconciliation, records
 from ebonyvalve.standin import metadata
 from tests.process.keyspace import test_steward
 
@@ -61,19 +61,19 @@
     keeper = machine.keeper
     assert keeper is not None and machine.target is not None and other.target is not None
     while True:
-        book = keeper.node.books[test_steward.SERVICE]
+        book = keeper.node.ledgers[test_steward.SERVICE]
         own = test_steward.name_lifetime(machine.target)
         span = ledger.list_held(book.ledger, own)[0]
         heir = ledger.Candidate(
             node=other.name, lifetime=test_steward.name_lifetime(other.target), weight=1
         )
-        moved = ledger.order_move(book.ledger, span.first, span.first + 4, heir)
-        name = records.name_book(test_steward.SERVICE)
-        if await steward._write(keeper, name, book.version, moved, {}) and (
-            test_steward.SERVICE in keeper.node.books
+        moved = ledger.plan_move(book.ledger, span.first, span.first + 4, heir)
+        name = records.name_ledger_row(test_steward.SERVICE)
+        if await reconciliation._write_ledger(keeper, name, book.version, moved, {}) and (
+            test_steward.SERVICE in keeper.node.ledgers
             and any(
-                one.heir == heir.lifetime and one.holder == own
-                for one in keeper.node.books[test_steward.SERVICE].ledger.spans
+                one.successor == heir.lifetime and one.holder == own
+                for one in keeper.node.ledgers[test_steward.SERVICE].ledger.spans
             )
         ):
             return
@@ -127,7 +127,7 @@
         assert one.pushes == 0 and one.writes == 0
     for (rest, busy), count in ((few, 8), (many, 24)):
         added = busy.calls.total() / busy.seconds - rest.calls.total() / rest.seconds
-        follows = count / records.SETTLE_S
+        follows = count / records.DEBOUNCE_S
         assert added < follows + 3 * busy.writes / busy.seconds
         assert busy.pushes <= 2 * busy.writes
 
--- a/tests/process/keyspace/test_grant.py
+++ b/tests/process/keyspace/test_grant.py
@@ -20,8 +20,8 @@
         fence=1,
         node="nx",
         holder=X,
-        heir=Y if is_moving else "",
-        heir_node="ny" if is_moving else "",
+        successor=Y if is_moving else "",
+        successor_node="ny" if is_moving else "",
     )
     return ledger.Ledger(spans=(span,))
 
@@ -78,7 +78,7 @@
         sequence, reported, sent_at = world.report
         worlds.append(change(world, report=None))
         holds_rows = ((0, identity.LAST_SLOT, 1),) if reported else ()
-        grant.take_report(
+        grant.record_report(
             state,
             grant.Report(lifetime=X, sequence=sequence, holds=holds_rows, released=()),
         )
@@ -96,7 +96,7 @@
             # The target counts its hold from when it sent the report, on a clock 2% slow.
             until = sent_at + hold_s * 1.02 if is_granted else 0.0
             worlds.append(change(world, answer=None, target_until=until))
-    fresh = grant.start(now=world.now, most_hold_s=HOLD_S)
+    fresh = grant.start(now=world.now, max_hold_s=HOLD_S)
     fresh.lifetime = X
     worlds.append(change(world, node=pack(fresh), report=None, answer=None))
     return worlds
@@ -104,7 +104,7 @@
 
 def test_no_order_of_events_frees_keys_that_are_held() -> None:
     """Lost and late messages, restarts of the node and slow clocks must not make two owners."""
-    state = grant.start(now=0.0, most_hold_s=HOLD_S)
+    state = grant.start(now=0.0, max_hold_s=HOLD_S)
     state.lifetime = X
     first = World(
         now=0.0,
@@ -163,4 +163,4 @@
 
 def test_end_of_a_hold_counts_the_slow_clock() -> None:
     """A target whose clock runs 2% slow holds its keys 2% longer."""
-    assert lease.find_end(0.0, 10.0) >= 10.2
+    assert lease.find_hold_end(0.0, 10.0) >= 10.2
--- a/tests/process/keyspace/test_lease.py
+++ b/tests/process/keyspace/test_lease.py
@@ -37,7 +37,7 @@
     ends = 1000 + node_elapsed + hold_s * (1 + target_slowness) if hold_s else 0.0
     taker = lease.StoreClock(asked_at=0.0, answered_at=taker_delay_s, read_s=ends - taker_delay_s)
     if hold_s:
-        assert not lease.is_over(row, taker, taker_delay_s)
+        assert not lease.is_expired(row, taker, taker_delay_s)
 
 
 def test_node_survives_an_outage_of_the_store() -> None:
--- a/tests/process/keyspace/test_ledger.py
+++ b/tests/process/keyspace/test_ledger.py
@@ -59,13 +59,13 @@
         vacant = ledger.vacate(book, lambda span: span.holder == NAMES[number])
         return ledger.assign_vacant(vacant, left)
     if kind == "move":
-        return ledger.order_move(book, min(first, last), max(first, last), everyone[number])
+        return ledger.plan_move(book, min(first, last), max(first, last), everyone[number])
     if kind == "pass":
-        moving = [span.first for span in book.spans if span.heir]
-        return ledger.pass_on(book, dict.fromkeys(moving[: number + 1], "handover"))
+        moving = [span.first for span in book.spans if span.successor]
+        return ledger.complete_moves(book, dict.fromkeys(moving[: number + 1], "handover"))
     if kind == "exit":
-        return ledger.order_exit(book, identity.Lifetime(NAMES[number]), everyone)
-    return ledger.cancel_moves(book, lambda span: span.heir == NAMES[number])
+        return ledger.plan_exit(book, identity.Lifetime(NAMES[number]), everyone)
+    return ledger.cancel_moves(book, lambda span: span.successor == NAMES[number])
 
 
 @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
@@ -82,7 +82,7 @@
         assert_covers(book)
         assert ledger.decode(ledger.encode(book)).unwrap() == book
         for slot in probes:
-            old, new = ledger.find(before, slot), ledger.find(book, slot)
+            old, new = ledger.find_span(before, slot), ledger.find_span(book, slot)
             assert new.fence >= old.fence
             if new.holder != old.holder and new.holder:
                 assert new.fence > old.fence, "a new holder needs a higher fence"
@@ -116,13 +116,13 @@
 def test_moving_span_stays_with_its_holder_until_passed_on() -> None:
     """The heir must not be granted keys which the holder still has."""
     book = ledger.create([build_candidate(0), build_candidate(1)])
-    moving = ledger.order_move(book, 0, 99, build_candidate(1))
-    assert ledger.find(moving, 5).holder == NAMES[0]
-    assert ledger.find(moving, 5).heir == NAMES[1]
-    assert not ledger.find(moving, 100).heir
-    passed = ledger.pass_on(moving, {0: "abc"})
-    span = ledger.find(passed, 5)
-    assert (span.holder, span.heir, span.handover, span.fence) == (NAMES[1], "", "abc", 2)
+    moving = ledger.plan_move(book, 0, 99, build_candidate(1))
+    assert ledger.find_span(moving, 5).holder == NAMES[0]
+    assert ledger.find_span(moving, 5).successor == NAMES[1]
+    assert not ledger.find_span(moving, 100).successor
+    passed = ledger.complete_moves(moving, {0: "abc"})
+    span = ledger.find_span(passed, 5)
+    assert (span.holder, span.successor, span.handover, span.fence) == (NAMES[1], "", "abc", 2)
 
 
 def test_unreadable_row_is_an_error() -> None:
@@ -140,18 +140,18 @@
     ]
     book = ledger.create(candidates)
     own = ledger.list_held(book, identity.Lifetime("t0"))[0]
-    moving = ledger.order_move(book, own.first, own.first + 9, candidates[3])
-    assert ledger.find_concerned(book, moving) == {"n0", "n3"}
-    moved = ledger.pass_on(moving, {own.first: ""})
-    assert ledger.find_concerned(moving, moved) == {"n0", "n3"}
-    assert ledger.find_concerned(moving, ledger.cancel_moves(moving, lambda _: True)) == {
+    moving = ledger.plan_move(book, own.first, own.first + 9, candidates[3])
+    assert ledger.find_affected_nodes(book, moving) == {"n0", "n3"}
+    moved = ledger.complete_moves(moving, {own.first: ""})
+    assert ledger.find_affected_nodes(moving, moved) == {"n0", "n3"}
+    assert ledger.find_affected_nodes(moving, ledger.cancel_moves(moving, lambda _: True)) == {
         "n0",
         "n3",
     }
     vacant = ledger.vacate(moved, lambda span: span.holder == "t1")
-    assert ledger.find_concerned(moved, vacant) == {"n1"}
-    assert ledger.find_concerned(book, book) == set()
-    assert len(ledger.find_concerned(ledger.Ledger(spans=()), book)) == 5
+    assert ledger.find_affected_nodes(moved, vacant) == {"n1"}
+    assert ledger.find_affected_nodes(book, book) == set()
+    assert len(ledger.find_affected_nodes(ledger.Ledger(spans=()), book)) == 5
 
 
 def build_fragmented() -> ledger.Ledger:
@@ -166,8 +166,8 @@
     ]
     book = ledger.create(candidates)
     for i in range(40):
-        book = ledger.order_move(book, i * 1500, i * 1500 + 300, candidates[(i * 7) % 46])
-        book = ledger.pass_on(book, {i * 1500: f"handover{i}"})
+        book = ledger.plan_move(book, i * 1500, i * 1500 + 300, candidates[(i * 7) % 46])
+        book = ledger.complete_moves(book, {i * 1500: f"handover{i}"})
     return book
 
 
--- a/tests/process/keyspace/test_records.py
+++ b/tests/process/keyspace/test_records.py
@@ -79,16 +79,16 @@
 }
 
 
-def build_steward() -> records.Steward:
+def build_steward() -> records.Reconciler:
     node = test_origin.build_origin(0.0).node
     node.members.clear()
-    node.books.clear()
+    node.ledgers.clear()
     store = table.Store(read=fail, follow=fail, commit=fail)  # type: ignore[arg-type]
-    return records.Steward(node=node, store=store, connect=fail)  # type: ignore[arg-type]
+    return records.Reconciler(node=node, store=store, connect=fail)  # type: ignore[arg-type]
 
 
-async def fail(*_: object) -> table.Trouble:
-    return table.Trouble.UNAVAILABLE
+async def fail(*_: object) -> table.Failure:
+    return table.Failure.UNAVAILABLE
 
 
 def build_row(key: str, value: object, version: int) -> table.Row:
@@ -96,10 +96,10 @@
     return table.Row(name=table.Name(table=records.MESH, key=key), value=body, version=version)
 
 
-def take(steward: records.Steward, *rows: table.Row, is_whole: bool = False) -> None:
+def take(steward: records.Reconciler, *rows: table.Row, is_whole: bool = False) -> None:
     version = max(row.version for row in rows)
     read = table.Rows(rows=rows, version=version, clock=None)
-    records.take_rows(steward, read, is_whole=is_whole)
+    records.apply_rows(steward, read, is_whole=is_whole)
 
 
 @pytest.mark.parametrize("value", ODD_MEMBERS.values(), ids=ODD_MEMBERS)
@@ -117,7 +117,7 @@
     ]
     take(steward, *rows, is_whole=True)
     assert set(steward.node.members) == {"n0", "n2"}
-    assert steward.node.books[SERVICE].version == 9
+    assert steward.node.ledgers[SERVICE].version == 9
     assert steward.mesh_version == 9
     take(steward, *rows, is_whole=True)
     logged = [entry for entry in caplog.records if entry.message == "row-unreadable"]
@@ -148,8 +148,8 @@
     for is_whole in (False, True):
         rows = [build_row("book/lookup", value, 7), build_row("member/n1", GOOD_MEMBER, 8)]
         take(steward, *rows, is_whole=is_whole)
-        assert steward.node.books[SERVICE].version == 6
-        assert len(steward.node.books[SERVICE].ledger.spans) == 2
+        assert steward.node.ledgers[SERVICE].version == 6
+        assert len(steward.node.ledgers[SERVICE].ledger.spans) == 2
         assert "n1" in steward.node.members
         assert steward.mesh_version == 8
     logged = [entry for entry in caplog.records if entry.message == "row-unreadable"]
@@ -163,8 +163,8 @@
     """A message that could not be read ended the node that received it."""
     steward = build_steward()
     take(steward, build_row("book/lookup", {"spans": GOOD_SPANS}, 6), is_whole=True)
-    assert not records.take_push(steward, "/ebonyvalve/ledger/lookup/7", value)
-    assert steward.node.books[SERVICE].version == 6
+    assert not records.apply_push(steward, "/ebonyvalve/ledger/lookup/7", value)
+    assert steward.node.ledgers[SERVICE].version == 6
 
 
 @pytest.mark.parametrize("version", ["", "x", "-7", "0", "1e3", "٧", "9" * 30, "9" * 5000])
@@ -174,8 +174,8 @@
     """A ledger with a version beyond the store's counter hid every later one for good."""
     steward = build_steward()
     body = msgspec.json.encode({"spans": GOOD_SPANS})
-    assert not records.take_push(steward, f"/ebonyvalve/ledger/lookup/{version}", body)
-    assert SERVICE not in steward.node.books
+    assert not records.apply_push(steward, f"/ebonyvalve/ledger/lookup/{version}", body)
+    assert SERVICE not in steward.node.ledgers
 
 
 TREES = strategies.recursive(
--- a/tests/process/keyspace/test_relief.py
+++ b/tests/process/keyspace/test_relief.py
@@ -4,7 +4,7 @@
 import random
 
 from ebonyvalve.process import identity
-from ebonyvalve.process.keyspace import ledger, relief
+from ebonyvalve.process.keyspace import ledger, rebalancing
 
 SLOTS = 9
 WORK_S = 0.1
@@ -17,12 +17,14 @@
 
 def measure(
     book: ledger.Ledger, rates: dict[int, float], one: ledger.Candidate, work_s: float = WORK_S
-) -> tuple[relief.Load, dict[int, float]]:
+) -> tuple[rebalancing.Load, dict[int, float]]:
     own = {
-        slot: rate for slot, rate in rates.items() if ledger.find(book, slot).holder == one.lifetime
+        slot: rate
+        for slot, rate in rates.items()
+        if ledger.find_span(book, slot).holder == one.lifetime
     }
     offered = sum(own.values()) * work_s / SLOTS
-    return relief.Load(candidate=one, offered=offered, request_load=work_s / SLOTS), own
+    return rebalancing.Load(candidate=one, offered=offered, request_load=work_s / SLOTS), own
 
 
 def find_moves(
@@ -30,11 +32,11 @@
     rates: dict[int, float],
     one: ledger.Candidate,
     everyone: list[ledger.Candidate],
-) -> list[relief.Move]:
+) -> list[rebalancing.Move]:
     own, own_rates = measure(book, rates, one)
     others = [measure(book, rates, other)[0] for other in everyone if other is not one]
     mean = sum(load.offered for load in [own, *others]) / len(everyone)
-    return relief.find_moves(book, own, others, own_rates, mean=mean)
+    return rebalancing.find_moves(book, own, others, own_rates, mean=mean)
 
 
 def run_round(
@@ -44,9 +46,11 @@
     moved = 0
     for one in everyone:
         for move in find_moves(book, rates, one, everyone):
-            book = ledger.order_move(book, move.first, move.last, move.heir)
+            book = ledger.plan_move(book, move.first, move.last, move.successor)
             moved += move.last - move.first + 1
-        book = ledger.pass_on(book, {span.first: "h" for span in book.spans if span.heir})
+        book = ledger.complete_moves(
+            book, {span.first: "h" for span in book.spans if span.successor}
+        )
     return book, moved
 
 
@@ -96,13 +100,13 @@
     everyone = [build_candidate(number) for number in range(2)]
     book = ledger.create(everyone)
     rates = dict.fromkeys(range(100), 2.0)
-    book = ledger.order_move(book, 0, 9, everyone[1])
+    book = ledger.plan_move(book, 0, 9, everyone[1])
     assert find_moves(book, rates, everyone[0], everyone) == []
 
 
 def spread(
     works_s: list[float], per_s: float, rounds: int
-) -> tuple[list[relief.Load], list[int], list[int]]:
+) -> tuple[list[rebalancing.Load], list[int], list[int]]:
     """Let targets of different speeds look in turn; return loads, keys held, keys moved a round."""
     rng = random.Random(7)
     everyone = [build_candidate(number) for number in range(len(works_s))]
@@ -120,11 +124,13 @@
             number = everyone.index(one)
             others = loads[:number] + loads[number + 1 :]
             mean = sum(load.offered for load in loads) / len(loads)
-            found = relief.find_moves(book, loads[number], others, pairs[number][1], mean=mean)
+            found = rebalancing.find_moves(book, loads[number], others, pairs[number][1], mean=mean)
             for move in found:
-                book = ledger.order_move(book, move.first, move.last, move.heir)
+                book = ledger.plan_move(book, move.first, move.last, move.successor)
                 count += move.last - move.first + 1
-            book = ledger.pass_on(book, {span.first: "h" for span in book.spans if span.heir})
+            book = ledger.complete_moves(
+                book, {span.first: "h" for span in book.spans if span.successor}
+            )
         moved.append(count)
     loads = [
         measure(book, rates, one, work_s)[0] for one, work_s in zip(everyone, works_s, strict=True)
@@ -145,7 +151,7 @@
     loads, held, moved = spread(works_s, 240.0, 8)
     slow = [load.offered for load, work_s in zip(loads, works_s, strict=True) if work_s > 0.1]
     fast = [load.offered for load, work_s in zip(loads, works_s, strict=True) if work_s < 0.1]
-    assert all(0.4 < offered <= relief.COMFORT for offered in fast)
+    assert all(0.4 < offered <= rebalancing.FILL_LOAD for offered in fast)
     assert all(offered < 0.45 for offered in slow)
     assert held[2] + held[5] > 0.5 * (identity.LAST_SLOT + 1)
     assert sum(moved[-3:]) == 0
--- a/tests/process/keyspace/test_steward.py
+++ b/tests/process/keyspace/test_steward.py
@@ -13,8 +13,16 @@
 from ebonyvalve.platform import store as store_module
 from ebonyvalve.process import budget, http, identity, member, timer
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.keyspace import grant, lease, ledger, presence, records, steward, tenure
-from ebonyvalve.process.load import gate, heat, policy
+from ebonyvalve.process.keyspace import (
+    grant,
+    lease,
+    ledger,
+    reconciliation,
+    records,
+    registration,
+    renewal,
+)
+from ebonyvalve.process.load import admission, policy, rates
 from ebonyvalve.standin import metadata
 from tests import places
 
@@ -44,7 +52,7 @@
     # Empty for one that follows from the name.
     address: str = ""
     scope: trio.CancelScope | None = None
-    keeper: records.Steward | None = None
+    keeper: records.Reconciler | None = None
     target: Target | None = None
     is_frozen: bool = False
 
@@ -81,13 +89,13 @@
 
     async def respond(request: http.Request) -> http.Reply:
         world.pushed_to.append(address)
-        is_taken = records.take_push(found[0], request.path, request.body)
+        is_taken = records.apply_push(found[0], request.path, request.body)
         return http.Reply(status=204 if is_taken else 400, body=b"")
 
     return respond
 
 
-def build_keeper(world: World, machine: Machine) -> records.Steward:
+def build_keeper(world: World, machine: Machine) -> records.Reconciler:
     async def connect(address: str) -> trio.abc.Stream:
         if address == "store:1":
             respond = metadata.build_respond(world.state, machine.name)
@@ -112,15 +120,15 @@
         wakeups=wakeups,
         now=now,
         draw=rng.random,
-        gate=gate.Gate(slots=1, cold_rate=0.0),
-        grantor=grant.start(now=now(), most_hold_s=grant.choose_hold(HEARTBEAT_S)),
+        admission=admission.Controller(slots=1, cold_rate=0.0),
+        grantor=grant.start(now=now(), max_hold_s=grant.choose_hold(HEARTBEAT_S)),
         budget=budget.ServiceBudgets(share=0.1),
-        heat=heat.Heat(at=now()),
+        key_rates=rates.KeyRates(updated_at=now()),
         config=identity.ConfigVersion(1),
         policies={SERVICE: POLICY},
     )
     client = store_module.Client(address="store:1", connect=connect, now=now)
-    return records.Steward(node=node, store=store_module.open_store(client), connect=connect)
+    return records.Reconciler(node=node, store=store_module.open_store(client), connect=connect)
 
 
 async def run_node(world: World, machine: Machine) -> None:
@@ -130,9 +138,9 @@
             nursery.start_soon(timer.run, keeper.node.wakeups)
             for task in (
                 records.follow_mesh,
-                presence.announce,
-                tenure.keep_lease,
-                steward.tend,
+                registration.announce,
+                renewal.keep_lease,
+                reconciliation.reconcile,
                 records.push_ledger,
             ):
                 nursery.start_soon(task, keeper)
@@ -155,13 +163,13 @@
         target.holds.clear()
 
 
-async def report(machine: Machine, keeper: records.Steward, target: Target) -> bool:
+async def report(machine: Machine, keeper: records.Reconciler, target: Target) -> bool:
     target.sequence += 1
     sent_at = trio.current_time()
     rows = tuple((first, last, fence) for (first, last), fence in target.holds.items())
     released, target.released = tuple(target.released), []
     node = keeper.node
-    grant.take_report(
+    grant.record_report(
         node.grantor,
         grant.Report(
             lifetime=name_lifetime(target),
@@ -174,15 +182,15 @@
         node,
         node_module.Target(
             lifetime=name_lifetime(target),
-            born_ms=target.born,
+            started_at_ms=target.born,
             slots=6,
             state=target.state,
             reported_at=sent_at,
         ),
         0.0,
     )
-    await steward.await_keys(keeper)
-    given = steward.answer_report(keeper)
+    await reconciliation.await_keys(keeper)
+    given = reconciliation.answer_report(keeper)
     is_late = trio.current_time() - sent_at > ANSWER_LIMIT_S
     if machine.target is not target or machine.keeper is not keeper or is_late:
         return False
@@ -303,7 +311,7 @@
     machine = world.machines[1]
     machine.target = None
     assert machine.keeper is not None
-    node_module.set_gone(machine.keeper.node, "refuses connections", is_dead=True)
+    node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
     assert await wait_whole(world, 3.0) < 2.5
     assert world.violations == []
 
@@ -390,7 +398,7 @@
     node = machine.keeper.node
     assert node.target is not None and node.target.is_assumed
     assert node.target.lifetime == name_lifetime(machine.target)
-    assert SERVICE in node.books and len(node.members) == len(world.machines)
+    assert SERVICE in node.ledgers and len(node.members) == len(world.machines)
 
 
 async def test_store_away_for_nine_seconds(
@@ -451,7 +459,7 @@
         assert machine.keeper is not None
         machine.keeper.node.members.pop(holder.name)
         machine.keeper.node.leases.pop(holder.name)
-        node_module.pulse(machine.keeper.node)
+        node_module.notify_changed(machine.keeper.node)
     await trio.sleep(2.0)
     holder.is_frozen = False
     await trio.sleep(2.0)
@@ -472,7 +480,7 @@
     for machine in world.machines[:6]:
         assert machine.keeper is not None
         machine.target = None
-        node_module.set_gone(machine.keeper.node, "refuses connections", is_dead=True)
+        node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
     await wait_whole(world, 3.0)
     writes = sum(1 for version, name in state.log if version > before and name[2][:5] == "book/")
     assert state.asked["/rows-tx", records.MESH] > writes + 6
@@ -491,7 +499,7 @@
     await trio.sleep(1.0)
     reads = world.state.asked["/rows-get", records.MESH]
     machine.target = None
-    node_module.set_gone(machine.keeper.node, "refuses connections", is_dead=True)
+    node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
     await trio.sleep(3.0)
     assert world.state.asked["/rows-get", records.MESH] == reads
     world.state.faults.clear()
@@ -519,7 +527,7 @@
     assert len(world.pushed_to) <= 2 * (count_ledgers(world) - before)
     assert all(
         machine.keeper is not None
-        and machine.keeper.node.books[SERVICE].version
+        and machine.keeper.node.ledgers[SERVICE].version
         == world.state.rows[("mesh", "", f"book/{SERVICE}")].version
         for machine in world.machines
     )
@@ -710,7 +718,7 @@
         world.nursery.start_soon(run_node, world, machine)
     elif kind == "crash-target" and machine.keeper is not None:
         machine.target = None
-        node_module.set_gone(machine.keeper.node, "refuses connections", is_dead=True)
+        node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
         await trio.sleep(rng.choice([1.0, 4.0]))
         start_target(world, machine)
     elif kind == "restart-target":
--- a/tests/process/keyspace/test_tenure.py
+++ b/tests/process/keyspace/test_tenure.py
@@ -10,7 +10,7 @@
 
 from ebonyvalve.process import identity, timer
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.keyspace import lease, ledger, records, steward, tenure
+from ebonyvalve.process.keyspace import lease, ledger, reconciliation, records, renewal
 from ebonyvalve.process.store import table
 from tests.process.keyspace import test_records, test_steward
 
@@ -43,23 +43,23 @@
         self.version = 9
 
     def open(self) -> table.Store:
-        async def read(name: table.TableName) -> table.Rows | table.Trouble:
+        async def read(name: table.TableName) -> table.Rows | table.Failure:
             rows = self.leases if name == records.LEASES else self.mesh
             now = trio.current_time()
             clock = lease.StoreClock(asked_at=now, answered_at=now, read_s=now)
             if rows is None:
-                return table.Trouble.UNAVAILABLE
+                return table.Failure.UNAVAILABLE
             return table.Rows(rows=tuple(rows), version=self.version, clock=clock)
 
-        async def follow(*_: object) -> table.Trouble:
-            return table.Trouble.UNAVAILABLE
+        async def follow(*_: object) -> table.Failure:
+            return table.Failure.UNAVAILABLE
 
         async def commit(
             expected: dict[table.Name, int], writes: dict[table.Name, bytes | None]
-        ) -> table.Committed | table.Conflict | table.Trouble:
+        ) -> table.Committed | table.Conflict | table.Failure:
             present = {row.name: row.version for row in self.leases or []}
             if not self.is_writable:
-                return table.Trouble.UNAVAILABLE
+                return table.Failure.UNAVAILABLE
             if any(present.get(name, 0) != version for name, version in expected.items()):
                 return table.Conflict(rows=())
             self.version += 1
@@ -73,7 +73,7 @@
         return table.Store(read=read, follow=follow, commit=commit)
 
 
-def build_steward(script: Script) -> records.Steward:
+def build_steward(script: Script) -> records.Reconciler:
     """Return a node whose target holds all keys by a ledger of version 5."""
     keeper = test_records.build_steward()
     keeper.store = script.open()
@@ -82,27 +82,31 @@
     node.grantor.lifetime = LIFETIME
     node.target = node_module.Target(
         lifetime=LIFETIME,
-        born_ms=1,
+        started_at_ms=1,
         slots=6,
         state=node_module.member.TargetState.READY,
         reported_at=trio.current_time(),
     )
     now = trio.current_time()
-    node.clock = lease.StoreClock(asked_at=now, answered_at=now, read_s=now)
+    node.store_clock = lease.StoreClock(asked_at=now, answered_at=now, read_s=now)
     span = ledger.Span(first=0, last=65_535, fence=3, node="me", holder=LIFETIME)
-    node.books[SERVICE] = node_module.Book(ledger=ledger.Ledger(spans=(span,)), version=5)
+    node.ledgers[SERVICE] = node_module.VersionedLedger(
+        ledger=ledger.Ledger(spans=(span,)), version=5
+    )
     keeper.lease_row = lease.LeaseRow(until_s=now + lease.LEASE_S, incarnation="a")
     keeper.lease_version = 4
     return keeper
 
 
-def grants(keeper: records.Steward) -> bool:
-    given = steward.answer_report(keeper)
+def grants(keeper: records.Reconciler) -> bool:
+    given = reconciliation.answer_report(keeper)
     return given is not None and bool(given.spans)
 
 
 def build_lease(name: str, value: bytes, version: int) -> table.Row:
-    return table.Row(name=records.name_lease(identity.NodeId(name)), value=value, version=version)
+    return table.Row(
+        name=records.name_lease_row(identity.NodeId(name)), value=value, version=version
+    )
 
 
 @pytest.mark.parametrize("value", ODD_LEASES.values(), ids=ODD_LEASES)
@@ -120,9 +124,9 @@
             "book/lookup", msgspec.json.encode({"spans": [[0, 65_535, 3, "me", LIFETIME]]}), 5
         )
     ]
-    assert not await tenure._renew(keeper)
+    assert not await renewal._renew(keeper)
     assert not grants(keeper)
-    assert await tenure._renew(keeper)
+    assert await renewal._renew(keeper)
     assert grants(keeper)
     decoded = msgspec.json.decode(script.leases[0].value)
     assert decoded["until_s"] < trio.current_time() + lease.LEASE_S + 1
@@ -142,18 +146,18 @@
         build_lease("n2", value, 3),
         build_lease("n3", msgspec.json.encode(GOOD), 4),
     ]
-    await tenure.read_leases(keeper)
+    await renewal.read_leases(keeper)
     node = keeper.node
     first = node.leases[identity.NodeId("n2")]
     assert set(node.leases) == {"n1", "n2", "n3"}
     assert first.version == 3
     for at, is_over in ((2 * lease.LEASE_S, False), (4 * lease.LEASE_S, True)):
         await trio.sleep(at - trio.current_time())
-        await tenure.read_leases(keeper)
+        await renewal.read_leases(keeper)
         held = node.leases[identity.NodeId("n2")]
         assert held == first
-        assert node.clock is not None
-        assert lease.is_over(held.row, node.clock, node.now()) is is_over
+        assert node.store_clock is not None
+        assert lease.is_expired(held.row, node.store_clock, node.now()) is is_over
     logged = [entry for entry in caplog.records if entry.message == "row-unreadable"]
     assert len(logged) <= 1
 
@@ -173,14 +177,14 @@
     odd = [test_records.build_row("book/lookup", b"{}", 7)]
     script.mesh = odd if is_odd else None
     for _ in range(3):
-        await tenure._renew(keeper)
-        await tenure._renew(keeper)
+        await renewal._renew(keeper)
+        await renewal._renew(keeper)
         assert not grants(keeper)
     spans = [[0, 65_535, 4, "me", LIFETIME]]
     script.mesh = [test_records.build_row("book/lookup", msgspec.json.encode({"spans": spans}), 8)]
-    await tenure._renew(keeper)
-    await records.read_again(keeper)
-    await tenure._renew(keeper)
+    await renewal._renew(keeper)
+    await records.reload_mesh(keeper)
+    await renewal._renew(keeper)
     assert grants(keeper)
 
 
@@ -192,8 +196,8 @@
     keeper = build_steward(script)
     script.leases = [build_lease("me", msgspec.json.encode({**GOOD, "incarnation": "a"}), 4)]
     script.mesh = [test_records.build_row("book/lookup", b"{}", 7)]
-    await records.read_again(keeper)
-    assert await tenure._renew(keeper)
+    await records.reload_mesh(keeper)
+    assert await renewal._renew(keeper)
     assert grants(keeper)
 
 
@@ -216,10 +220,10 @@
     """Each write that failed for another reason put off the end of an odd lease once more."""
     script = Script()
     keeper = build_steward(script)
-    row = table.Row(name=records.name_lease(identity.NodeId("other")), value=b"odd", version=7)
+    row = table.Row(name=records.name_lease_row(identity.NodeId("other")), value=b"odd", version=7)
     script.leases = [row]
-    await tenure.read_leases(keeper)
+    await renewal.read_leases(keeper)
     until_s = keeper.node.leases[identity.NodeId("other")].row.until_s
     await trio.sleep(5.0)
-    tenure.take_conflict(keeper, (row,))
+    renewal.apply_conflict(keeper, (row,))
     assert keeper.node.leases[identity.NodeId("other")].row.until_s == until_s
--- a/tests/process/load/test_choice.py
+++ b/tests/process/load/test_choice.py
@@ -5,14 +5,16 @@
 import pytest
 
 from ebonyvalve.process import identity
-from ebonyvalve.process.load import choice
+from ebonyvalve.process.load import selection
 
 NAMES = [identity.NodeId(f"n{number}") for number in range(4)]
 
 
-def build_views(works_s: list[float], slots: int = 6) -> dict[identity.NodeId, choice.View]:
+def build_views(
+    works_s: list[float], slots: int = 6
+) -> dict[identity.NodeId, selection.TargetView]:
     return {
-        name: choice.View(slots=slots, work_s=work_s, reported_at=0.0)
+        name: selection.TargetView(slots=slots, work_s=work_s, reported_at=0.0)
         for name, work_s in zip(NAMES, works_s, strict=False)
     }
 
@@ -32,12 +34,12 @@
         for end, name, work_s in [one for one in ends if one[0] <= now]:
             views[name].outstanding -= 1
             busy = sum(1 for at in free_at[name] if at > now)
-            report = choice.Report(
+            report = selection.LoadReport(
                 busy=busy, slots=6, work_s=work_s, offered=0.0, request_load=0.02
             )
-            choice.note_load(views[name], report, end)
+            selection.record_load(views[name], report, end)
         ends = [one for one in ends if one[0] > now]
-        name = choice.choose(views, set(NAMES), now, rng.random)
+        name = selection.choose(views, set(NAMES), now, rng.random)
         assert name is not None
         counts[name] += 1
         views[name].outstanding += 1
@@ -55,11 +57,11 @@
 def test_lost_target_is_passed_by_and_tried_again() -> None:
     """A crashed target must not get each second request, nor be forgotten."""
     views = build_views([0.1, 0.1])
-    choice.note_failure(views[NAMES[0]], 0.0)
-    picks = {choice.choose(views, set(), 0.1, lambda: 0.5) for _ in range(5)}
+    selection.record_failure(views[NAMES[0]], 0.0)
+    picks = {selection.choose(views, set(), 0.1, lambda: 0.5) for _ in range(5)}
     assert picks == {NAMES[1]}
     views[NAMES[1]].outstanding = 30
-    assert choice.choose(views, set(), 1.0, lambda: 0.5) == NAMES[0]
+    assert selection.choose(views, set(), 1.0, lambda: 0.5) == NAMES[0]
 
 
 def test_repeated_losses_are_avoided_longer_up_to_a_bound() -> None:
@@ -68,33 +70,33 @@
     spans = []
     now = 0.0
     for _ in range(6):
-        choice.note_failure(view, now)
+        selection.record_failure(view, now)
         # Requests that end with the same loss add nothing.
-        choice.note_failure(view, now + 0.01)
+        selection.record_failure(view, now + 0.01)
         spans.append(view.avoid_until - now)
         now = view.avoid_until
     assert spans == sorted(spans)
-    assert spans[-1] == pytest.approx(choice.MOST_AVOID_S)
+    assert spans[-1] == pytest.approx(selection.MAX_AVOID_S)
 
 
 def test_own_zone_is_preferred_until_it_waits() -> None:
     """Bytes between zones cost, but less than a caller's wait."""
     views = build_views([0.1, 0.1])
     near = {NAMES[0]}
-    assert choice.choose(views, near, 0.0, lambda: 0.5) == NAMES[0]
+    assert selection.choose(views, near, 0.0, lambda: 0.5) == NAMES[0]
     views[NAMES[0]].outstanding = 20
-    assert choice.choose(views, near, 0.0, lambda: 0.5) == NAMES[1]
+    assert selection.choose(views, near, 0.0, lambda: 0.5) == NAMES[1]
 
 
 def test_nothing_to_choose() -> None:
     """A service without targets has no answer rather than an error."""
-    assert choice.choose({}, set(), 0.0, lambda: 0.5) is None
+    assert selection.choose({}, set(), 0.0, lambda: 0.5) is None
 
 
 def test_full_queue_is_not_asked_again_at_once() -> None:
     """A storm of refused callers costs the full target's node nothing for a moment."""
     view = build_views([0.1])[NAMES[0]]
-    choice.note_refusal(view, 0.5, 1.0)
-    assert view.full_until == 1.0 + choice.FULL_PAUSE_S
-    choice.note_refusal(view, 0.01, 1.0)
+    selection.record_refusal(view, 0.5, 1.0)
+    assert view.full_until == 1.0 + selection.FULL_PAUSE_S
+    selection.record_refusal(view, 0.01, 1.0)
     assert view.full_until == 1.01
--- a/tests/process/load/test_gate.py
+++ b/tests/process/load/test_gate.py
@@ -6,17 +6,19 @@
 
 import pytest
 
-from ebonyvalve.process.load import gate
+from ebonyvalve.process.load import admission
 
 WORK_S = 0.1
 
 
-def build_gate(slots: int = 4, cold_rate: float = 10.0) -> gate.Gate:
-    return gate.Gate(slots=slots, cold_rate=cold_rate, work_s=WORK_S)
+def build_gate(slots: int = 4, cold_rate: float = 10.0) -> admission.Controller:
+    return admission.Controller(slots=slots, cold_rate=cold_rate, work_s=WORK_S)
 
 
-def build_demand(deadline_at: float, objective_s: float = 0.3, priority: int = 1) -> gate.Demand:
-    return gate.Demand(deadline_at=deadline_at, objective_s=objective_s, priority=priority)
+def build_demand(
+    deadline_at: float, objective_s: float = 0.3, priority: int = 1
+) -> admission.Demand:
+    return admission.Demand(deadline_at=deadline_at, objective_s=objective_s, priority=priority)
 
 
 def test_never_more_than_the_slots_run() -> None:
@@ -24,45 +26,45 @@
     state = build_gate()
     rng = random.Random(1)
     now = 0.0
-    running: list[gate.Ticket] = []
+    running: list[admission.Ticket] = []
     for _ in range(2000):
         now += 0.002
-        admitted = gate.admit(state, build_demand(now + 2.0), now)
-        if admitted.verdict is gate.Verdict.RUN and admitted.ticket is not None:
+        admitted = admission.admit(state, build_demand(now + 2.0), now)
+        if admitted.verdict is admission.Verdict.RUN and admitted.ticket is not None:
             running.append(admitted.ticket)
         if running and rng.random() < 0.1:
-            gate.release(state, running.pop(0), work_s=WORK_S)
-            running.extend(gate.wake(state, now).run)
+            admission.release(state, running.pop(0), work_s=WORK_S)
+            running.extend(admission.dequeue(state, now).run)
         assert len(state.running) <= state.slots
 
 
 def test_burst_beyond_the_objective_is_refused_at_once() -> None:
     """A request whose wait exceeds its objective would be late; its caller is told when to come."""
     state = build_gate()
-    answers = [gate.admit(state, build_demand(2.0), 0.0) for _ in range(40)]
-    refused = [one for one in answers if one.verdict is gate.Verdict.REFUSE]
+    answers = [admission.admit(state, build_demand(2.0), 0.0) for _ in range(40)]
+    refused = [one for one in answers if one.verdict is admission.Verdict.REFUSE]
     assert refused
     assert all(one.retry_after_s > 0 for one in refused)
-    waits = [one.wait_s for one in answers if one.verdict is not gate.Verdict.REFUSE]
+    waits = [one.wait_s for one in answers if one.verdict is not admission.Verdict.REFUSE]
     assert max(waits) <= 0.3
 
 
 def test_request_that_cannot_finish_is_refused() -> None:
     """A request with less time left than its work takes is not held till its deadline."""
     state = build_gate()
-    admitted = gate.admit(state, build_demand(0.02), 0.0)
-    assert admitted.verdict is gate.Verdict.REFUSE
+    admitted = admission.admit(state, build_demand(0.02), 0.0)
+    assert admitted.verdict is admission.Verdict.REFUSE
 
 
 def test_urgent_requests_overtake() -> None:
     """Calls that running requests depend on go first."""
     state = build_gate(slots=1)
-    first = gate.admit(state, build_demand(2.0), 0.0).ticket
-    patient = gate.admit(state, build_demand(2.0, priority=2), 0.0).ticket
-    urgent = gate.admit(state, build_demand(2.0, priority=0), 0.0).ticket
+    first = admission.admit(state, build_demand(2.0), 0.0).ticket
+    patient = admission.admit(state, build_demand(2.0, priority=2), 0.0).ticket
+    urgent = admission.admit(state, build_demand(2.0, priority=0), 0.0).ticket
     assert first is not None
-    gate.release(state, first, work_s=WORK_S)
-    assert gate.wake(state, 0.1).run == (urgent,)
+    admission.release(state, first, work_s=WORK_S)
+    assert admission.dequeue(state, 0.1).run == (urgent,)
     assert patient in state.demands
 
 
@@ -70,17 +72,20 @@
 def test_cold_target_gets_no_more_than_it_bears(offered_per_s: int) -> None:
     """Full load on a target that has just started crashes it."""
     state = build_gate(slots=50, cold_rate=10.0)
-    gate.note_cold(state, 10.0)
+    admission.record_cold(state, 10.0)
     starts: list[float] = []
     now = 0.0
     while now < 5.0:
         now += 1 / offered_per_s
-        admitted = gate.admit(state, build_demand(now + 2.0, 1.0), now)
-        woken = gate.wake(state, now).run
-        for ticket in [*woken, admitted.ticket if admitted.verdict is gate.Verdict.RUN else None]:
+        admitted = admission.admit(state, build_demand(now + 2.0, 1.0), now)
+        woken = admission.dequeue(state, now).run
+        for ticket in [
+            *woken,
+            admitted.ticket if admitted.verdict is admission.Verdict.RUN else None,
+        ]:
             if ticket is not None:
                 starts.append(now)
-                gate.release(state, ticket, work_s=WORK_S)
+                admission.release(state, ticket, work_s=WORK_S)
     for start in starts:
         assert sum(1 for one in starts if start <= one < start + 1.0) <= 10
 
@@ -89,21 +94,21 @@
     """A target that turns cold without warning has had its share of the second already."""
     state = build_gate(slots=50, cold_rate=10.0)
     for _ in range(30):
-        ticket = gate.admit(state, build_demand(2.0), 0.0).ticket
+        ticket = admission.admit(state, build_demand(2.0), 0.0).ticket
         assert ticket is not None
-        gate.release(state, ticket, work_s=WORK_S)
-    gate.note_cold(state, 5.0)
-    assert gate.admit(state, build_demand(2.5, 2.0), 0.5).verdict is not gate.Verdict.RUN
+        admission.release(state, ticket, work_s=WORK_S)
+    admission.record_cold(state, 5.0)
+    assert admission.admit(state, build_demand(2.5, 2.0), 0.5).verdict is not admission.Verdict.RUN
 
 
 def test_late_waiters_are_told() -> None:
     """A request that waited until its work can't finish any more is refused, not run."""
     state = build_gate(slots=1)
-    first = gate.admit(state, build_demand(2.0), 0.0).ticket
-    second = gate.admit(state, build_demand(0.25), 0.0).ticket
+    first = admission.admit(state, build_demand(2.0), 0.0).ticket
+    second = admission.admit(state, build_demand(0.25), 0.0).ticket
     assert first is not None
-    gate.release(state, first, work_s=None)
-    woken = gate.wake(state, 0.2)
+    admission.release(state, first, work_s=None)
+    woken = admission.dequeue(state, 0.2)
     assert woken.late == (second,)
     assert woken.run == ()
 
@@ -111,16 +116,16 @@
 def test_withdrawn_waiters_leave_the_queue() -> None:
     """A caller that has left takes no slot."""
     state = build_gate(slots=1)
-    first = gate.admit(state, build_demand(2.0), 0.0).ticket
-    second = gate.admit(state, build_demand(2.0), 0.0).ticket
+    first = admission.admit(state, build_demand(2.0), 0.0).ticket
+    second = admission.admit(state, build_demand(2.0), 0.0).ticket
     assert first is not None and second is not None
-    gate.withdraw(state, second)
-    gate.release(state, first, work_s=WORK_S)
-    assert gate.wake(state, 0.1).run == ()
+    admission.withdraw(state, second)
+    admission.release(state, first, work_s=WORK_S)
+    assert admission.dequeue(state, 0.1).run == ()
 
 
-CALL = gate.Demand(deadline_at=0.5, objective_s=0.15, priority=1, kind="call")
-ORDER = gate.Demand(deadline_at=1.5, objective_s=0.6, priority=1, kind="order")
+CALL = admission.Demand(deadline_at=0.5, objective_s=0.15, priority=1, kind="call")
+ORDER = admission.Demand(deadline_at=1.5, objective_s=0.6, priority=1, kind="order")
 WORK = {"call": 0.04, "order": 0.21}
 
 
@@ -137,14 +142,14 @@
     rng = random.Random(7)
     state = build_gate(slots=slots)
     served = {"call": Served(), "order": Served()}
-    came: dict[gate.Ticket, tuple[str, float]] = {}
-    events: list[tuple[float, int, str, gate.Ticket | None]] = []
+    came: dict[admission.Ticket, tuple[str, float]] = {}
+    events: list[tuple[float, int, str, admission.Ticket | None]] = []
     for number, kind in enumerate(rates):
         events.append((rng.expovariate(rates[kind]), number, kind, None))
     heapq.heapify(events)
     count = 10
 
-    def start(ticket: gate.Ticket, now: float) -> None:
+    def start(ticket: admission.Ticket, now: float) -> None:
         nonlocal count
         kind, at = came[ticket]
         work_s = WORK[kind] * rng.uniform(0.5, 1.5)
@@ -155,19 +160,19 @@
     while events[0][0] < until_s:
         now, number, kind, ended = heapq.heappop(events)
         if ended is not None:
-            gate.release(state, ended, work_s=WORK[kind])
+            admission.release(state, ended, work_s=WORK[kind])
         else:
             heapq.heappush(events, (now + rng.expovariate(rates[kind]), number, kind, None))
             needed = CALL if kind == "call" else ORDER
             demand = dataclasses.replace(needed, deadline_at=now + needed.deadline_at)
-            admitted = gate.admit(state, demand, now)
+            admitted = admission.admit(state, demand, now)
             if admitted.ticket is None:
                 served[kind].refused += 1
                 continue
             came[admitted.ticket] = (kind, now)
-            if admitted.verdict is gate.Verdict.RUN:
+            if admitted.verdict is admission.Verdict.RUN:
                 start(admitted.ticket, now)
-        for ticket in gate.wake(state, now).run:
+        for ticket in admission.dequeue(state, now).run:
             start(ticket, now)
     return served
 
@@ -194,7 +199,7 @@
         return late / len(orders.took_s)
 
     foreseen = find_late_share()
-    monkeypatch.setattr(gate, "MOST_OVERTAKING", 0.0)
+    monkeypatch.setattr(admission, "MAX_OVERTAKING_LOAD", 0.0)
     assert foreseen < 0.5 * find_late_share()
 
 
@@ -203,9 +208,9 @@
     state = build_gate(slots=1)
     for kind, work_s in WORK.items():
         for _ in range(40):
-            demand = gate.Demand(deadline_at=9.0, objective_s=5.0, priority=1, kind=kind)
-            ticket = gate.admit(state, demand, 0.0).ticket
+            demand = admission.Demand(deadline_at=9.0, objective_s=5.0, priority=1, kind=kind)
+            ticket = admission.admit(state, demand, 0.0).ticket
             assert ticket is not None
-            gate.release(state, ticket, work_s=work_s)
-    assert gate.expect_work(state, "call") == pytest.approx(0.04, rel=0.1)
-    assert gate.expect_work(state, "order") == pytest.approx(0.21, rel=0.1)
+            admission.release(state, ticket, work_s=work_s)
+    assert admission.expect_work(state, "call") == pytest.approx(0.04, rel=0.1)
+    assert admission.expect_work(state, "order") == pytest.approx(0.21, rel=0.1)
--- a/tests/process/load/test_heat.py
+++ b/tests/process/load/test_heat.py
@@ -2,29 +2,29 @@
 
 import pytest
 
-from ebonyvalve.process.load import heat
+from ebonyvalve.process.load import rates
 
 
 def test_rates_follow_the_load_and_fade() -> None:
     """A key that was busy five seconds ago is not busy now."""
-    state = heat.Heat(at=0.0)
+    state = rates.KeyRates(updated_at=0.0)
     now = 0.0
     for _ in range(2000):
         now += 0.01
-        heat.note(state, 7, now)
-    assert heat.read_rates(state, now)[7] == pytest.approx(100, rel=0.05)
-    assert heat.read_total(state, now) == pytest.approx(100, rel=0.05)
-    assert heat.read_rates(state, now + 5.0)[7] < 10
-    assert heat.read_rates(state, now + 60.0) == {}
+        rates.record(state, 7, now)
+    assert rates.read_rates(state, now)[7] == pytest.approx(100, rel=0.05)
+    assert rates.read_total(state, now) == pytest.approx(100, rel=0.05)
+    assert rates.read_rates(state, now + 5.0)[7] < 10
+    assert rates.read_rates(state, now + 60.0) == {}
 
 
 def test_keys_that_left_are_dropped() -> None:
     """The load of keys that another target has now must not be counted."""
-    state = heat.Heat(at=0.0)
+    state = rates.KeyRates(updated_at=0.0)
     for slot in (5, 10, 15, 20, 25):
-        heat.note(state, slot, 0.0)
-    heat.keep(state, [(0, 9), (15, 20)])
-    assert set(heat.read_rates(state, 0.0)) == {5, 15, 20}
-    assert heat.read_total(state, 0.0) == pytest.approx(3 / heat.MEMORY_S)
-    heat.keep(state, [])
-    assert heat.read_total(state, 0.0) == 0.0
+        rates.record(state, slot, 0.0)
+    rates.retain(state, [(0, 9), (15, 20)])
+    assert set(rates.read_rates(state, 0.0)) == {5, 15, 20}
+    assert rates.read_total(state, 0.0) == pytest.approx(3 / rates.MEMORY_S)
+    rates.retain(state, [])
+    assert rates.read_total(state, 0.0) == 0.0
--- a/tests/process/load/test_link.py
+++ b/tests/process/load/test_link.py
@@ -5,20 +5,20 @@
 
 import pytest
 
-from ebonyvalve.process.load import gate, link
+from ebonyvalve.process.load import admission, link
 
 SLOTS = 5
 # An answer takes the link for 0.1 s, so that it carries 10 a second.
 RATE = 900_000.0
-BUNDLE = gate.Demand(deadline_at=5.0, objective_s=0.9, priority=2, kind="bundle")
-CALL = gate.Demand(deadline_at=0.7, objective_s=0.25, priority=2, kind="call")
+BUNDLE = admission.Demand(deadline_at=5.0, objective_s=0.9, priority=2, kind="bundle")
+CALL = admission.Demand(deadline_at=0.7, objective_s=0.25, priority=2, kind="call")
 SIZE = {"bundle": 90_000, "call": 400}
 WORK_S = {"bundle": 0.13, "call": 0.04}
 PING_S = 0.35
 
 
 def play(
-    state: gate.Gate,
+    state: admission.Controller,
     *,
     bundles: float,
     calls: float,
@@ -30,14 +30,14 @@
     The link carries what it is given in order, at ``RATE``.
     """
     draw = random.Random(1)
-    events: list[tuple[float, int, str, gate.Demand | gate.Ticket]] = []
+    events: list[tuple[float, int, str, admission.Demand | admission.Ticket]] = []
     number = 0
     for demand, rate in ((BUNDLE, bundles), (CALL, calls)):
         at = 0.0
         while at < seconds:
             at += draw.expovariate(rate)
             number += 1
-            due = gate.Demand(
+            due = admission.Demand(
                 deadline_at=at + demand.deadline_at,
                 objective_s=demand.objective_s,
                 priority=demand.priority,
@@ -45,11 +45,11 @@
             )
             events.append((at, number, "come", due))
     heapq.heapify(events)
-    came: dict[gate.Ticket, tuple[float, str]] = {}
+    came: dict[admission.Ticket, tuple[float, str]] = {}
     took: dict[str, list[float]] = {"bundle": [], "call": [], "backlog": []}
     clear_at = 0.0
 
-    def start(ticket: gate.Ticket, now: float) -> None:
+    def start(ticket: admission.Ticket, now: float) -> None:
         nonlocal number
         number += 1
         kind = came[ticket][1]
@@ -58,24 +58,24 @@
     while events:
         now, _, what, who = heapq.heappop(events)
         if what == "come":
-            assert isinstance(who, gate.Demand)
-            admitted = gate.admit(state, who, now)
+            assert isinstance(who, admission.Demand)
+            admitted = admission.admit(state, who, now)
             if admitted.ticket is None:
                 took[who.kind].append(0.0)
             else:
                 came[admitted.ticket] = (now, who.kind)
-                if admitted.verdict is gate.Verdict.RUN:
+                if admitted.verdict is admission.Verdict.RUN:
                     start(admitted.ticket, now)
         elif what == "done":
-            assert not isinstance(who, gate.Demand)
+            assert not isinstance(who, admission.Demand)
             at, kind = came[who]
-            gate.note_answer(state, kind, None if is_unannounced else SIZE[kind], now)
-            gate.note_size(state, kind, SIZE[kind])
-            gate.release(state, who, work_s=WORK_S[kind])
+            admission.record_answer(state, kind, None if is_unannounced else SIZE[kind], now)
+            admission.record_answer_size(state, kind, SIZE[kind])
+            admission.release(state, who, work_s=WORK_S[kind])
             clear_at = max(clear_at, now) + SIZE[kind] / RATE
             took[kind].append(clear_at - at)
             took["backlog"].append(clear_at - now)
-        woken = gate.wake(state, now)
+        woken = admission.dequeue(state, now)
         for ticket in woken.run:
             start(ticket, now)
         for ticket in woken.late:
@@ -98,7 +98,7 @@
     Nothing bounded what waited for the link: pings and calls of running requests were late, nodes
     were taken for lost, and nearly all large answers came late as well.
     """
-    state = gate.Gate(slots=SLOTS, cold_rate=0.0, uplink=link.Link(rate=RATE))
+    state = admission.Controller(slots=SLOTS, cold_rate=0.0, uplink=link.Link(rate=RATE))
     took = play(state, bundles=bundles, calls=20.0, seconds=20.0, is_unannounced=is_unannounced)
     assert read_share(took["call"], CALL.deadline_at) > 0.99
     assert max(took["backlog"]) < 2 * PING_S
@@ -110,13 +110,13 @@
 
 def test_link_that_is_not_known_holds_nothing_back() -> None:
     """Without a rate, only slots decide."""
-    state = gate.Gate(slots=SLOTS, cold_rate=0.0)
+    state = admission.Controller(slots=SLOTS, cold_rate=0.0)
     took = play(state, bundles=12.0, calls=20.0, seconds=20.0)
     assert read_share(took["bundle"], 1e9) > 0.99
 
 
 def test_wide_link_holds_nothing_back() -> None:
     """An answer that takes a wide link for a moment doesn't wait for room on it."""
-    state = gate.Gate(slots=SLOTS, cold_rate=0.0, uplink=link.Link(rate=1000 * RATE))
+    state = admission.Controller(slots=SLOTS, cold_rate=0.0, uplink=link.Link(rate=1000 * RATE))
     took = play(state, bundles=12.0, calls=20.0, seconds=20.0)
     assert read_share(took["bundle"], 1e9) > 0.99
--- a/tests/process/load/test_pace.py
+++ b/tests/process/load/test_pace.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ebonyvalve.process.load import pace
+from ebonyvalve.process.load import lag
 
 DEADLINE_S = 2.0
 
@@ -16,7 +16,7 @@
     loop, of 2 ms in all.
     """
     rng = random.Random(3)
-    state = pace.Pace()
+    state = lag.LoopLag()
     step_s = 0.002 * slower / 8
     arrivals = []
     at = 0.0
@@ -30,12 +30,12 @@
         while arrivals and arrivals[0] <= now:
             begun = arrivals.pop(0)
             taken += 1
-            if not bounds or pace.can_serve(state, DEADLINE_S):
+            if not bounds or lag.can_serve(state, DEADLINE_S):
                 hands.append([begun, 8])
         # A refusal costs about as much as one pass.
         before = now
         now += max(0.001, (len(hands) + taken) * step_s)
-        pace.note_wake_up(state, 2 * (now - before) - 0.002)
+        lag.record_wake_up(state, 2 * (now - before) - 0.002)
         for hand in hands:
             hand[1] -= 1
         in_time += sum(left <= 0 and now - begun <= DEADLINE_S for begun, left in hands)
@@ -55,16 +55,16 @@
 
 def test_usual_pace_refuses_nothing() -> None:
     """Wake-ups of a busy process come a few milliseconds late."""
-    state = pace.Pace()
+    state = lag.LoopLag()
     for _ in range(100):
-        pace.note_wake_up(state, 0.01)
-    assert pace.can_serve(state, 0.2)
+        lag.record_wake_up(state, 0.01)
+    assert lag.can_serve(state, 0.2)
 
 
 def test_process_that_wakes_serves_at_once() -> None:
     """A machine that stood still for seconds is behind once."""
-    state = pace.Pace()
-    pace.note_wake_up(state, 8.0)
+    state = lag.LoopLag()
+    lag.record_wake_up(state, 8.0)
     for _ in range(4):
-        pace.note_wake_up(state, 0.001)
-    assert pace.can_serve(state, DEADLINE_S)
+        lag.record_wake_up(state, 0.001)
+    assert lag.can_serve(state, DEADLINE_S)
--- a/tests/process/observation/test_output.py
+++ b/tests/process/observation/test_output.py
@@ -4,7 +4,7 @@
 import os
 
 from ebonyvalve.process import decision
-from ebonyvalve.process.observation import output, tally
+from ebonyvalve.process.observation import counters, output
 
 
 def read_all(descriptor: int) -> str:
@@ -43,10 +43,10 @@
 
 def test_metrics_in_the_usual_text_format() -> None:
     """On-call engineers read counters by outcome and reason, and latencies by service."""
-    counted = tally.Tally()
-    tally.count(counted, "orders", "answered", "none", 0.15)
-    tally.count(counted, "orders", "not-run", "queue-full", 0.001)
-    text = tally.render(counted, {"queue_length": 3}).decode()
+    counted = counters.Counters()
+    counters.count(counted, "orders", "answered", "none", 0.15)
+    counters.count(counted, "orders", "not-run", "queue-full", 0.001)
+    text = counters.render(counted, {"queue_length": 3}).decode()
     assert (
         'ebonyvalve_requests_total{outcome="not-run",reason="queue-full",service="orders"} 1.0'
         in text
--- a/tests/request/test_crash.py
+++ b/tests/request/test_crash.py
@@ -10,7 +10,7 @@
 from ebonyvalve.connection import pool
 from ebonyvalve.process import identity, member, timer
 from ebonyvalve.process import node as node_module
-from ebonyvalve.process.load import suspicion
+from ebonyvalve.process.load import crashes
 from ebonyvalve.request import crash, delivery, exchange, outcome
 from tests.request import test_delivery, test_origin
 
@@ -47,7 +47,7 @@
 def start_target(node: node_module.Node, born: int) -> node_module.Target:
     return node_module.Target(
         lifetime=identity.Lifetime(f"t@{born}"),
-        born_ms=born,
+        started_at_ms=born,
         slots=4,
         state=member.TargetState.READY,
         reported_at=node.now(),
@@ -111,8 +111,8 @@
     node.grantor.granted = ((0, identity.LAST_SLOT),)
     node.grantor.ends_at = trio.current_time() + 10.0
     call = test_delivery.build_call(1.0)
-    for _ in range(suspicion.MOST_CRASHES):
-        suspicion.note_crash(state.crash_detector.quarantine, [crash.fingerprint(call)], node.now())
+    for _ in range(crashes.QUARANTINE_CRASHES):
+        crashes.record_crash(state.crash_detector.quarantine, [crash.fingerprint(call)], node.now())
         await trio.sleep(1.0)
     call = test_delivery.build_call(1.0)
     ended: delivery.Completion = await test_delivery.run(state, call)
--- a/tests/request/test_delivery.py
+++ b/tests/request/test_delivery.py
@@ -23,13 +23,15 @@
     node = state.node
     node.target = node_module.Target(
         lifetime=LIFETIME,
-        born_ms=1,
+        started_at_ms=1,
         slots=4,
         state=member.TargetState.READY,
         reported_at=trio.current_time(),
     )
     span = ledger.Span(first=0, last=identity.LAST_SLOT, fence=1, node="me", holder=LIFETIME)
-    node.books[SERVICE] = node_module.Book(ledger=ledger.Ledger(spans=(span,)), version=1)
+    node.ledgers[SERVICE] = node_module.VersionedLedger(
+        ledger=ledger.Ledger(spans=(span,)), version=1
+    )
     return state
 
 
@@ -93,7 +95,7 @@
     or for a target that leaves. Nothing is sent to the target.
     """
     state = build_delivery()
-    node_module.pulse(state.node)
+    node_module.notify_changed(state.node)
     call = build_call(2.0)
     assert call.rules is not None
     call.rules = dataclasses.replace(call.rules, key_slot=None)
@@ -103,7 +105,7 @@
     ended = await run(state, call)
     assert ended.result.verdict is outcome.Verdict.NOT_RUN
     assert ended.result.reason is reason
-    assert not state.node.gate.starts
+    assert not state.node.admission.starts
 
 
 async def test_request_that_ends_before_its_key_comes_is_refused_at_once(
@@ -135,7 +137,7 @@
 ) -> None:
     """A request may have waited before it is sent."""
     state = build_delivery()
-    node_module.pulse(state.node)
+    node_module.notify_changed(state.node)
     told: list[float] = []
 
     def dress(
@@ -161,8 +163,8 @@
     A target has done its work when its answer begins.
     """
     state = build_delivery()
-    node_module.pulse(state.node)
-    assert state.node.gate.slots == 1
+    node_module.notify_changed(state.node)
+    assert state.node.admission.slots == 1
 
     async def answer(stream: trio.abc.Stream) -> None:
         while await stream.receive_some():
@@ -208,4 +210,4 @@
     first_at, last_at = (at - started_at for at in ended_at)
     assert first_at == pytest.approx(0.2)
     assert last_at == pytest.approx(1.1)
-    assert state.node.gate.work_s == pytest.approx(0.1)
+    assert state.node.admission.work_s == pytest.approx(0.1)
--- a/tests/request/test_endless.py
+++ b/tests/request/test_endless.py
@@ -128,7 +128,7 @@
     target = Target(first=first, unit=fill(unit), pause_s=FLOOD_PAUSE_S, nursery=nursery)
     ended, took_s, entry = await run(target)
     assert ended.result.verdict is verdict
-    assert not entry.node.gate.running
+    assert not entry.node.admission.running
     with trio.fail_after(DEADLINE_S):
         await target.is_closed.wait()
     assert target.sent <= most_bytes + SLACK_BYTES
@@ -181,7 +181,7 @@
     ended, took_s, entry = await run(target)
     assert ended.result.verdict is verdict
     assert took_s <= most_s + SLACK_S
-    assert not entry.node.gate.running
+    assert not entry.node.admission.running
     with trio.fail_after(DEADLINE_S):
         await target.is_closed.wait()
 
--- a/tests/request/test_explanation.py
+++ b/tests/request/test_explanation.py
@@ -33,7 +33,7 @@
     holder = ledger.Candidate(
         node=test_origin.NAMES[0], lifetime=identity.Lifetime("i-0"), weight=1
     )
-    entry.node.books[identity.ServiceId(mesh.KEYED)] = node_module.Book(
+    entry.node.ledgers[identity.ServiceId(mesh.KEYED)] = node_module.VersionedLedger(
         ledger=ledger.create([holder]), version=12
     )
     return entry
--- a/tests/request/test_origin.py
+++ b/tests/request/test_origin.py
@@ -11,7 +11,7 @@
 from ebonyvalve.process import budget, identity, member, timer
 from ebonyvalve.process import node as node_module
 from ebonyvalve.process.keyspace import grant
-from ebonyvalve.process.load import gate, heat
+from ebonyvalve.process.load import admission, rates
 from ebonyvalve.request import (
     attempt,
     correlation,
@@ -44,10 +44,10 @@
         wakeups=wakeups,
         now=trio.current_time,
         draw=lambda: 0.5,
-        gate=gate.Gate(slots=1, cold_rate=0.0),
-        grantor=grant.start(now=0.0, most_hold_s=4.0),
+        admission=admission.Controller(slots=1, cold_rate=0.0),
+        grantor=grant.start(now=0.0, max_hold_s=4.0),
         budget=budget.ServiceBudgets(share=0.0, burst=level),
-        heat=heat.Heat(at=0.0),
+        key_rates=rates.KeyRates(updated_at=0.0),
     )
     for name in NAMES:
         node.members[name] = member.Member(
--- a/tests/request/test_reachability.py
+++ b/tests/request/test_reachability.py
@@ -137,7 +137,7 @@
     """A node short of processor time must not take the others for lost."""
     peer = Peer()
     watch = build_watch(nursery, peer)
-    watch.node.behind.late_s = 0.05
+    watch.node.loop_lag.late_s = 0.05
     await send(watch)
     peer.delay_s = 0.5
     await watch_for(watch, 3.0)
@@ -149,7 +149,7 @@
 ) -> None:
     """Patience for its own lateness must not outlast the time that requests have."""
     watch = build_watch(nursery, Peer(is_frozen=True))
-    watch.node.behind.late_s = 1.0
+    watch.node.loop_lag.late_s = 1.0
     await send(watch)
     await trio.sleep(1.5)
     with trio.move_on_after(reachability.PING_TIMEOUT_S + reachability.ABORT_ALL_AFTER_S + 0.01):
--- a/tests/request/test_refusals.py
+++ b/tests/request/test_refusals.py
@@ -118,12 +118,12 @@
     node.members.clear()
     node.target = node_module.Target(
         lifetime=identity.Lifetime("t@1"),
-        born_ms=1,
+        started_at_ms=1,
         slots=4,
         state=member.TargetState.READY,
         reported_at=node.now(),
     )
-    node_module.pulse(node)
+    node_module.notify_changed(node)
     entry.delivery.dialect = dialect.build_dialect()
     entry.delivery.pool = pool.Pool(connect=target.connect, now=trio.current_time)
     return entry
--- a/tests/request/test_relay.py
+++ b/tests/request/test_relay.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from ebonyvalve.process import identity
-from ebonyvalve.process.load import choice
+from ebonyvalve.process.load import selection
 from ebonyvalve.request import crash, delivery, exchange, hop_headers, outcome
 from tests.platform import test_odd_input
 from tests.request import test_origin
@@ -103,17 +103,17 @@
 @pytest.mark.parametrize("value", ODD_LOADS)
 def test_odd_loads_of_other_nodes(value: bytes) -> None:
     """One odd load ended the node, or made every later comparison with it meaningless."""
-    view = choice.View(slots=4)
+    view = selection.TargetView(slots=4)
     before = dataclasses.replace(view)
     hop_headers.record_load(view, [(hop_headers.LOAD_HEADER, value)], 3.0)
     assert view == before
-    assert math.isfinite(choice.estimate(view, 4.0, is_near=True))
+    assert math.isfinite(selection.estimate_answer(view, 4.0, is_near=True))
 
 
 @hypothesis.given(strategies.binary(max_size=60), strategies.binary(max_size=20))
 def test_any_bytes_in_headers_raise_nothing(value: bytes, other: bytes) -> None:
     """An exception in a handler ends all tasks of the process."""
-    view = choice.View(slots=4)
+    view = selection.TargetView(slots=4)
     hop_headers.record_load(view, [(hop_headers.LOAD_HEADER, value)], 3.0)
     assert isinstance(
         hop_headers.read_refusal(value, [(b"retry-after", other)]), delivery.Completion
