--- a/src/ebonyvalve/version/forecast.py
+++ b/src/ebonyvalve/version/forecast.py
@@ -1,4 +1,4 @@
-"""Shows what a change of configuration would do to the assignment of shards."""
+"""Simulates placement to predict how a change of configuration alters the assignment of shards."""
 
 import collections
 import dataclasses
@@ -8,24 +8,24 @@
 from ebonyvalve.process import assignment, identity
 from ebonyvalve.version import placement, route
 
-# Time between simulated rounds. A shard is taken to be handed over within it.
+# Simulated time between rounds, within which each handover is assumed to complete.
 ROUND_S = 1.0
-# The assignment is final when nothing was planned for this time; a rebalance starts after
-# RETURN_S and SMALL_GAP_S.
-QUIET_S = placement.RETURN_S + placement.SMALL_GAP_S + 4.0
-# Ends the simulation of a configuration under which the assignment does not come to rest.
+# The assignment is final when nothing was planned for this time. It exceeds the delay before a
+# rebalance starts, MIN_ELIGIBLE_S and SMALL_GAP_S.
+QUIET_S = placement.MIN_ELIGIBLE_S + placement.SMALL_GAP_S + 4.0
+# Ends the simulation of a configuration under which the assignment never becomes stable.
 MAX_ROUNDS = 300
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Forecast:
-    """The difference between the assignments that two configurations lead to.
+    """The difference between the stable assignments under two configurations.
 
-    ``moves`` has one entry for each shard with another owner. ``loads_before`` and ``loads_after``
-    are in target seconds per second; ``added_loads`` lists the targets that get more.
-    ``stranded`` lists shards that no target may own, and ``zones_at_risk`` the zones without which
-    the targets left could not carry a service. ``takes_s`` is the time until the last planned move
-    if each handover takes up to one second.
+    ``moves`` has one entry for each shard whose owner differs. ``loads_before`` and ``loads_after``
+    are in target seconds per second (busy slots); ``added_loads`` holds the nodes whose load
+    increases. ``stranded`` lists shards that no target may own, and ``zones_at_risk`` the zones
+    after whose loss the remaining targets could not carry the load of a service. ``takes_s`` is the
+    time until the last planned move if each handover takes up to one second.
     """
 
     moves: list[assignment.Move]
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StableAssignment:
-    """The assignment that a configuration leads to."""
+    """The assignment in which no more moves are planned under a configuration."""
 
     owners: dict[identity.ShardId, identity.NodeId | None]
     loads: dict[identity.ShardId, float]
@@ -53,9 +53,9 @@
 
 
 def simulate(snapshot: route.Snapshot, view: assignment.PlacementView) -> StableAssignment:
-    """Apply plans to a view under constant load until nothing is planned any more.
+    """Apply plans to a view under constant load until nothing more is planned.
 
-    Cold targets are taken to be warm, as the result is that after their slow start.
+    Cold targets are treated as warm, because the result describes the time after their slow start.
 
     :param snapshot: the configuration.
     :param view: the view to start from.
@@ -116,58 +116,58 @@
     )
 
 
-def sum_by_node(settled: StableAssignment) -> dict[identity.NodeId, float]:
+def sum_by_node(assigned: StableAssignment) -> dict[identity.NodeId, float]:
     """Return the load of each owner.
 
-    :param settled: an assignment.
+    :param assigned: an assignment.
     """
     loads: dict[identity.NodeId, float] = collections.defaultdict(float)
-    for shard, owner in settled.owners.items():
+    for shard, owner in assigned.owners.items():
         if owner is not None:
-            loads[owner] += settled.loads[shard]
+            loads[owner] += assigned.loads[shard]
     return dict(loads)
 
 
 def list_zones_at_risk(
-    snapshot: route.Snapshot, view: assignment.PlacementView, settled: StableAssignment
+    snapshot: route.Snapshot, view: assignment.PlacementView, assigned: StableAssignment
 ) -> list[tuple[identity.ServiceId, identity.ZoneId]]:
-    """Return the zones whose loss leaves a service too few slots for its load.
+    """Return the zones whose loss would leave a service with fewer slots than its load needs.
 
     :param snapshot: the configuration.
     :param view: the view.
-    :param settled: the assignment that the configuration leads to.
+    :param assigned: the stable assignment under the configuration.
     """
-    found = []
+    at_risk = []
     for name, service in sorted(snapshot.services.items()):
         if not service.is_keyed:
             continue
-        limits = placement.build_constraints(snapshot, service)
+        constraints = placement.build_constraints(snapshot, service)
         slots: dict[identity.ZoneId, int] = collections.defaultdict(int)
         for member in view.members.values():
-            is_in_zones = limits.zones is None or member.zone in limits.zones
-            if is_in_zones and placement.is_eligible(member, limits):
+            is_in_zones = constraints.zones is None or member.zone in constraints.zones
+            if is_in_zones and placement.is_eligible(member, constraints):
                 slots[member.zone] += member.slots or service.slots
         load = sum(
-            carried
-            for shard, carried in settled.loads.items()
+            shard_load
+            for shard, shard_load in assigned.loads.items()
             if identity.split_shard(shard)[0] == name
         )
         for zone in sorted(slots):
-            left = sum(slots.values()) - slots[zone]
-            if left == 0 or left < load:
-                found.append((name, zone))
-    return found
+            remaining = sum(slots.values()) - slots[zone]
+            if remaining == 0 or remaining < load:
+                at_risk.append((name, zone))
+    return at_risk
 
 
 def compare_configurations(
     before: route.Snapshot, after: route.Snapshot, view: assignment.PlacementView
 ) -> Forecast:
-    """Return what changes when one configuration replaces another.
+    """Return the effect of replacing one configuration by another.
 
-    Moves that would happen under the old configuration as well are not counted.
+    Moves that would also happen under the old configuration are not counted.
 
     :param before: the configuration in force.
-    :param after: the configuration to come.
+    :param after: the configuration that would replace it.
     :param view: the present members, owners and loads.
     """
     old, new = simulate(before, view), simulate(after, view)
@@ -182,7 +182,7 @@
         reason = new.reasons.get(shard, assignment.MoveReason.REBALANCE)
         moves.append(assignment.Move(shard=shard, source=source, target=owner, reason=reason))
     loads_before, loads_after = sum_by_node(old), sum_by_node(new)
-    limits = {
+    constraints = {
         name: placement.build_constraints(after, service)
         for name, service in after.services.items()
     }
@@ -202,7 +202,7 @@
             shard
             for shard, owner in sorted(new.owners.items())
             if placement.find_reason(
-                shard, owner, view.members, limits[identity.split_shard(shard)[0]]
+                shard, owner, view.members, constraints[identity.split_shard(shard)[0]]
             )
         ],
         zones_at_risk=list_zones_at_risk(after, view, new),
@@ -211,9 +211,9 @@
     )
 
 
-def list_partitions(settled: StableAssignment) -> set[identity.ShardId]:
+def list_partitions(assigned: StableAssignment) -> set[identity.ShardId]:
     """Return the shards that are partitions.
 
-    :param settled: an assignment.
+    :param assigned: an assignment.
     """
-    return {shard for shard in settled.owners if identity.split_shard(shard)[2] is None}
+    return {shard for shard in assigned.owners if identity.split_shard(shard)[2] is None}
--- a/src/ebonyvalve/version/placement.py
+++ b/src/ebonyvalve/version/placement.py
@@ -1,8 +1,8 @@
-"""Decides which node owns which shard, moving as few shards as possible.
+"""Decides which node owns which shard, with as few moves as possible.
 
-A plan states everything that is still to be done for a view. Moves that were planned before and
-are not yet visible in the view are repeated with the same target, so a caller that lost a plan gets
-it again and a caller with a move in flight ignores the repetition.
+Each plan contains every change that the view still lacks. A move that was planned earlier and is
+not visible yet is repeated with the same target: a caller that lost the plan receives it again, and
+a caller that has already started the move ignores the repetition.
 """
 
 import collections.abc
@@ -13,72 +13,78 @@
 from ebonyvalve.process import assignment, identity, message
 from ebonyvalve.version import objects, route
 
-# Time constants of the averages over reported loads. The slow one counts; it reduces noise that
-# lasts 3 s to a third. Once the fast one differs from it by half, the shard's load has changed, and
-# the fast one counts for CHANGED_S, in which it sees 96% of a change that has passed the 3 s of the
-# owners' accounting.
-FAST_S = 3.0
-SLOW_S = 30.0
-CHANGED_PART = 0.5
-CHANGED_S = 15.0
-# The same for all shards of a service once their recent changes sum up to this part of its load. A
-# change of the hottest 61 of 100 000 Zipf keys gives 0.78.
-CHANGED_SUM = 0.25
-# A node this far from its share starts a rebalance, which then goes on to the lower figure. The
-# bound on imbalance is 1.25; starting at 1.20 leaves room for the error of the averages.
+# Time constants of the two exponentially weighted moving averages of a shard's reported load. The
+# slow average is normally used; it reduces noise that lasts 3 s to a third. When the two
+# differ by more than CHANGE_THRESHOLD of the larger one, the load has changed, and the fast one is
+# used for CHANGE_PERIOD_S. In that time it follows 96% of a change, which reaches it through the
+# owners' accounting window of 3 s.
+FAST_EWMA_S = 3.0
+SLOW_EWMA_S = 30.0
+CHANGE_THRESHOLD = 0.5
+CHANGE_PERIOD_S = 15.0
+# All shards of a service use the fast average once their recent changes sum up to this fraction of
+# its load. Replacing the hottest 61 of 100 000 Zipf-distributed keys gives 0.78.
+SERVICE_CHANGE_THRESHOLD = 0.25
+# A rebalance starts when a node's load differs from its fair share by START_GAP (a fraction of that
+# share) and continues until the largest difference is STOP_GAP. The bound on imbalance is 1.25;
+# starting at 1.20 leaves room for the error of the averages.
 START_GAP = 0.20
 STOP_GAP = 0.04
-# A node that came back or was cold is filled until it lacks less than this.
+# A node that returned or was cold receives shards until it is less than this below its fair share.
 FILL_GAP = 0.10
-# A move must leave its target at least this far (in shares) below where its source was. It makes
-# each move an improvement, so that a series of moves under constant load ends.
+# A move must leave its target at least this far (in fair shares) below the load its source had.
+# Every move is then an improvement, so a series of moves under constant load ends.
 MIN_GAIN = 0.02
-# How long a gap must last before shards move; a shorter burst moves nothing. A gap below LARGE_GAP
-# keeps to the bound, so it can be watched for longer.
+# How long a gap must last before shards move, so that a short burst moves nothing. A gap below
+# LARGE_GAP is within the bound on imbalance and can be observed for longer.
 LARGE_GAP = 0.25
 LARGE_GAP_S = 3.0
 SMALL_GAP_S = 10.0
-# A node must have been eligible this long before shards move to it without need, so that a node
-# that fails repeatedly costs only the moves of its losses.
-RETURN_S = 5.0
-# A shard lighter than this part of the difference is not worth a handover.
-LEAST_PART = 0.02
-# Shards per round to even out the load, per service, and the time between rounds. Requests for a
-# shard wait while it is handed over: at 8 of 256 shards about 3% of the keys wait at once, and a
-# fair share of 43 shards is restored in 6 s.
-STEP_MOVES = 8
-# Moves decided on at once, which STEP_MOVES then limits. Deciding on all moves at the start keeps
-# noise from prolonging a rebalance.
-QUEUE_MOVES = 64
-STEP_S = 1.0
-# Shards per round from one node that must be emptied. The coordinator plans once a second; three
+# A node must have been eligible this long before a rebalance moves shards to it. A node that fails
+# repeatedly then causes no moves beyond those of its failures.
+MIN_ELIGIBLE_S = 5.0
+# A shard whose load is below this fraction of the load to be moved is not worth a handover.
+MIN_MOVE_FRACTION = 0.02
+# Rebalancing moves per round and service, and the time between rounds (ROUND_INTERVAL_S). Requests
+# for a shard wait while it is handed over: with 8 of 256 shards, about 3% of the keys wait at a
+# time, and a fair share of 43 shards is restored in 6 s.
+MOVES_PER_ROUND = 8
+# Moves that one decision may queue; MOVES_PER_ROUND limits how fast they are planned. Deciding on
+# all moves at the start keeps noise from prolonging a rebalance.
+MAX_QUEUED_MOVES = 64
+ROUND_INTERVAL_S = 1.0
+# Moves per round away from a node that must be emptied. The coordinator plans once a second; three
 # rounds move 72 shards, well above a fair share of 43, within the 3 s after which a drained zone
-# gets no new work.
-DRAIN_MOVES = 24
-# A key is split off above the first share of a target's fair load and merged below the second.
-# Smaller keys are balanced well enough by moving their partitions.
+# must receive no new work.
+DRAIN_MOVES_PER_ROUND = 24
+# A key gets a shard of its own when its load exceeds SPLIT_SHARE of a node's fair load for
+# SPLIT_AFTER_S, and returns to its partition when it stays below MERGE_SHARE for MERGE_AFTER_S.
+# Keys with less load are balanced well enough by moving their partitions.
 SPLIT_SHARE = 0.20
 MERGE_SHARE = 0.08
-SPLIT_S = 2.0
-MERGE_S = 30.0
-# Keys split off, and keys merged or on their way to it, per service and round; each is a commit.
-STEP_KEYS = 4
-# After a shard changed owner, the new owner's account of its load is too short to be used.
-HOLD_S = 2.0
-# A key that is no longer reported is forgotten once its average share has fallen below this.
-LEAST_KEY_SHARE = 0.01
-# A planned move that is not visible after this time is decided anew.
-PENDING_S = 10.0
-# Utilisation that every node is taken to have besides the measured load, spread over its shards.
-# It makes idle services balance by number of shards instead of by noise.
+SPLIT_AFTER_S = 2.0
+MERGE_AFTER_S = 30.0
+# Limit per service and round for splits of hot keys, and for merges together with the moves that
+# prepare them. Each of these is a commit.
+KEYS_PER_ROUND = 4
+# The load that a new owner reports for a shard is ignored for this time after the change of owner,
+# because it has observed too few requests.
+IGNORE_LOAD_S = 2.0
+# A key that is no longer reported as hot is dropped once its average share is below this.
+MIN_KEY_SHARE = 0.01
+# A planned move that is not visible after this time is decided again.
+PENDING_TIMEOUT_S = 10.0
+# Utilisation that is assumed for every node in addition to the measured load, spread over the
+# shards of the service. It makes an idle service balance by the number of shards instead of by
+# noise.
 IDLE_UTILISATION = 0.01
 # Weight of the zone's utilisation, relative to the node's, in the choice of a target.
 ZONE_WEIGHT = 0.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Pending:
-    """A move that was planned and is not yet visible."""
+class PendingMove:
+    """A planned move that the view does not show yet, and when it was first planned."""
 
     move: assignment.Move
     planned_s: float
@@ -86,46 +92,48 @@
 
 @dataclasses.dataclass(kw_only=True)
 class State:
-    """What placement remembers from one round to the next. It may start empty at any time."""
+    """What placement keeps from one round to the next. An empty state is valid at any time."""
 
-    # Averages of the loads of shards: the one that counts, and the fast one.
+    # Average loads of the shards: the average that decisions use, and the fast one.
     loads: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     fast_loads: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     changed_until_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
-    # The loads of changed shards before the change.
-    changed_from: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
+    # The slow averages of shards whose load has changed, as they were before the change.
+    load_before_change: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     changed_service_until_s: dict[identity.ServiceId, float] = dataclasses.field(
         default_factory=dict
     )
-    # For hot keys that are part of their partition: the average share of its load, and the load.
+    # For hot keys without a shard of their own: the average fraction of their partition's load, and
+    # the load itself.
     key_shares: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     key_loads: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
-    measured_s: float | None = None
+    observed_s: float | None = None
     owners: dict[identity.ShardId, identity.NodeId | None] = dataclasses.field(default_factory=dict)
-    # Until when the reported load of a shard is not used: after a move, and after a split or merge.
-    held_until_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
-    divided_until_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
-    # The node that last lost a shard by failure or drain; a node that returns gets these first.
-    former: dict[identity.ShardId, identity.NodeId] = dataclasses.field(default_factory=dict)
+    # Until when the reported load of a shard is ignored: after a move, and after a split or merge.
+    ignore_moved_until_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
+    ignore_split_until_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
+    # The owner that last lost a shard through a failure, drain or rule. A node that returns
+    # receives such shards first.
+    former_owners: dict[identity.ShardId, identity.NodeId] = dataclasses.field(default_factory=dict)
     eligible_since_s: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
     cold_since_s: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
-    # Nodes that came back or were cold and have not had their share since.
-    filling: set[identity.NodeId] = dataclasses.field(default_factory=set)
-    uneven_since_s: dict[identity.ServiceId, float] = dataclasses.field(default_factory=dict)
-    large_since_s: dict[identity.ServiceId, float] = dataclasses.field(default_factory=dict)
-    # Moves that even out the load, decided on and not yet planned.
-    queues: dict[identity.ServiceId, list[assignment.Move]] = dataclasses.field(
+    # Nodes that returned or were cold and have not reached their fair share since.
+    underfilled: set[identity.NodeId] = dataclasses.field(default_factory=set)
+    imbalanced_since_s: dict[identity.ServiceId, float] = dataclasses.field(default_factory=dict)
+    large_gap_since_s: dict[identity.ServiceId, float] = dataclasses.field(default_factory=dict)
+    # Rebalancing moves that were decided on and are not yet part of a plan.
+    move_queues: dict[identity.ServiceId, list[assignment.Move]] = dataclasses.field(
         default_factory=dict
     )
-    moved_s: dict[identity.ServiceId, float] = dataclasses.field(default_factory=dict)
+    rebalanced_s: dict[identity.ServiceId, float] = dataclasses.field(default_factory=dict)
     hot_since_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     cool_since_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
-    pending: dict[identity.ShardId, Pending] = dataclasses.field(default_factory=dict)
+    pending: dict[identity.ShardId, PendingMove] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Constraints:
-    """Where the shards of one service may be: zones for its partitions, and for named keys."""
+    """Where the shards of one service may be: allowed zones for partitions and keys, and drains."""
 
     service: objects.Service
     # ``None`` allows every zone.
@@ -136,19 +144,19 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Board:
-    """The shards of one service as they will be once the moves planned so far are done."""
+class Layout:
+    """The owners and loads of one service's shards, with the moves planned so far applied."""
 
-    limits: Constraints
-    # Members that may own shards, and the load in slots that each can take.
+    constraints: Constraints
+    # Members that may own shards, and the load that each can carry, in slots.
     members: dict[identity.NodeId, message.Member]
     capacity: dict[identity.NodeId, float]
     cold: frozenset[identity.NodeId]
     weights: dict[identity.ShardId, float]
-    # The shards that are single keys.
-    apart: list[identity.ShardId]
+    # The shards that consist of a single key.
+    key_shards: list[identity.ShardId]
     owners: dict[identity.ShardId, identity.NodeId]
-    held: dict[identity.NodeId, set[identity.ShardId]]
+    shards_by_node: dict[identity.NodeId, set[identity.ShardId]]
     node_weight: dict[identity.NodeId, float]
     zone_weight: dict[identity.ZoneId, float]
     zone_capacity: dict[identity.ZoneId, float]
@@ -157,23 +165,25 @@
 def build_constraints(snapshot: route.Snapshot, service: objects.Service) -> Constraints:
     """Collect the rules and drain orders that concern a service.
 
-    A rule that names a key replaces the rules of the service for that key. Several rules of the
-    same scope all apply.
+    Rules that name a key replace the rules of the whole service for that key. Several rules of the
+    same scope apply together.
 
     :param snapshot: the configuration.
     :param service: one of its services.
     """
     rules = [rule for rule in snapshot.rules.values() if rule.service == service.name]
-    named = {key.name: key for key in snapshot.keys.values() if key.service == service.name}
-    general = intersect(rule.zones for rule in rules if not rule.keys)
+    named_keys = {key.name: key for key in snapshot.keys.values() if key.service == service.name}
+    service_zones = intersect(rule.zones for rule in rules if not rule.keys)
     key_zones = {}
-    for name, key in named.items():
-        own = intersect(rule.zones for rule in rules if name in rule.keys)
-        key_zones[identity.name_key(service.name, key.key)] = general if own is None else own
+    for name, key in named_keys.items():
+        rule_zones = intersect(rule.zones for rule in rules if name in rule.keys)
+        key_zones[identity.name_key(service.name, key.key)] = (
+            service_zones if rule_zones is None else rule_zones
+        )
     drains = snapshot.drains.values()
     return Constraints(
         service=service,
-        zones=general,
+        zones=service_zones,
         key_zones=key_zones,
         drained_zones=frozenset(drain.zone for drain in drains if drain.zone is not None),
         drained_nodes=frozenset(node for drain in drains for node in drain.nodes),
@@ -185,17 +195,17 @@
 ) -> frozenset[identity.ZoneId] | None:
     """Return the zones in all lists, or ``None`` when there is no list.
 
-    :param zone_lists: zones that single rules allow.
+    :param zone_lists: the zones that each rule allows.
     """
     sets = [frozenset(zones) for zones in zone_lists]
     return frozenset.intersection(*sets) if sets else None
 
 
 def is_eligible(member: message.Member, constraints: Constraints) -> bool:
-    """Say whether a member may get shards of a service at all.
+    """Return whether a member may own shards of a service at all.
 
     :param member: the member.
-    :param limits: the limits of the service.
+    :param constraints: the constraints of the service.
     """
     return (
         member.service == constraints.service.name
@@ -207,11 +217,11 @@
 
 
 def is_allowed(member: message.Member, shard: identity.ShardId, constraints: Constraints) -> bool:
-    """Say whether the assignment rules allow a shard in a member's zone.
+    """Return whether the assignment rules allow a shard in a member's zone.
 
     :param member: the member.
     :param shard: the shard.
-    :param limits: the limits of the service.
+    :param constraints: the constraints of the service.
     """
     zones = constraints.key_zones.get(shard, constraints.zones)
     return zones is None or member.zone in zones
@@ -220,35 +230,35 @@
 def find_node_reason(
     owner: identity.NodeId | None,
     members: dict[identity.NodeId, message.Member],
-    limits: Constraints,
+    constraints: Constraints,
 ) -> assignment.MoveReason | None:
-    """Return why no shard can stay with an owner, or ``None`` when the owner is in service.
+    """Return why an owner has to give up every shard, or ``None`` when it is in service.
 
     :param owner: the owner.
     :param members: the members with a lease.
-    :param limits: the limits of the service.
+    :param constraints: the constraints of the service.
     """
     member = members.get(owner) if owner is not None else None
-    if member is None or member.service != limits.service.name or not member.is_target_up:
+    if member is None or member.service != constraints.service.name or not member.is_target_up:
         return assignment.MoveReason.ORPHANED
-    return None if is_eligible(member, limits) else assignment.MoveReason.LEAVING
+    return None if is_eligible(member, constraints) else assignment.MoveReason.LEAVING
 
 
 def find_reason(
     shard: identity.ShardId,
     owner: identity.NodeId | None,
     members: dict[identity.NodeId, message.Member],
-    limits: Constraints,
+    constraints: Constraints,
 ) -> assignment.MoveReason | None:
     """Return why a shard can't stay with its owner, or ``None`` when it can.
 
     :param shard: the shard.
     :param owner: its owner.
     :param members: the members with a lease.
-    :param limits: the limits of the service.
+    :param constraints: the constraints of the service.
     """
-    reason = find_node_reason(owner, members, limits)
-    if reason is None and owner is not None and not is_allowed(members[owner], shard, limits):
+    reason = find_node_reason(owner, members, constraints)
+    if reason is None and owner is not None and not is_allowed(members[owner], shard, constraints):
         return assignment.MoveReason.RULE
     return reason
 
@@ -256,14 +266,15 @@
 def find_capacity(
     member: message.Member, service: objects.Service, cold_since_s: float | None, now_s: float
 ) -> float:
-    """Return the load in slots that a member's target can take at present.
+    """Return the load that a member's target can carry at present, in slots.
 
-    Slow start lets a cold target take one slot at first and all of them after ``warm_up_s``.
+    In slow start the capacity of a cold target grows linearly from one slot to all of them within
+    ``warm_up_s``.
 
     :param member: the member.
     :param service: its service.
-    :param cold_since_s: since when the target is cold, or ``None``.
-    :param now_s: the time.
+    :param cold_since_s: when the target became cold, or ``None`` when it is not cold.
+    :param now_s: the current time.
     """
     slots = float(max(1, member.slots or service.slots))
     if cold_since_s is None:
@@ -286,13 +297,13 @@
     return identity.name_partition(service, route.find_partition(services[service], key))
 
 
-def observe(
+def update_loads(
     state: State,
     view: assignment.PlacementView,
     services: dict[identity.ServiceId, objects.Service],
     shards: dict[identity.ServiceId, list[identity.ShardId]],
 ) -> None:
-    """Take a view into the smoothed loads and the times that hysteresis needs.
+    """Update the average loads of shards and hot keys, and drop the state of shards that are gone.
 
     :param state: changed in place.
     :param view: the view.
@@ -300,10 +311,10 @@
     :param shards: the shards of each keyed service.
     """
     now_s = view.now_s
-    first = state.measured_s is None
-    elapsed_s = 0.0 if state.measured_s is None else max(0.0, now_s - state.measured_s)
-    fast_step = 1.0 - math.exp(-elapsed_s / FAST_S)
-    if not first:
+    is_first = state.observed_s is None
+    elapsed_s = 0.0 if state.observed_s is None else max(0.0, now_s - state.observed_s)
+    fast_step = 1.0 - math.exp(-elapsed_s / FAST_EWMA_S)
+    if not is_first:
         transfer_loads(state, view, services)
     for service, listed in shards.items():
         average_loads(state, view, service, listed, elapsed_s)
@@ -314,24 +325,24 @@
         share = view.hot_keys.get(key, 0.0)
         old = state.key_shares.get(key, share)
         value = old + fast_step * (share - old)
-        if key in view.hot_keys or value > LEAST_KEY_SHARE:
+        if key in view.hot_keys or value > MIN_KEY_SHARE:
             key_shares[key] = value
     state.key_shares = key_shares
     state.key_loads = {
         key: share * state.fast_loads.get(find_parent(key, services) or key, 0.0)
         for key, share in sorted(key_shares.items())
     }
-    state.measured_s = now_s
+    state.observed_s = now_s
     state.owners = dict(view.owners)
     tables: list[dict[identity.ShardId, typing.Any]] = [
         state.loads,
         state.fast_loads,
-        state.changed_from,
-        state.held_until_s,
-        state.divided_until_s,
+        state.load_before_change,
+        state.ignore_moved_until_s,
+        state.ignore_split_until_s,
         state.changed_until_s,
         state.cool_since_s,
-        state.former,
+        state.former_owners,
     ]
     for table in tables:
         for shard in [shard for shard in table if shard not in view.owners]:
@@ -356,9 +367,9 @@
     :param elapsed_s: the time since the last view.
     """
     now_s = view.now_s
-    fast_step = 1.0 - math.exp(-elapsed_s / FAST_S)
-    slow_step = 1.0 - math.exp(-elapsed_s / SLOW_S)
-    changed = 0.0
+    fast_step = 1.0 - math.exp(-elapsed_s / FAST_EWMA_S)
+    slow_step = 1.0 - math.exp(-elapsed_s / SLOW_EWMA_S)
+    total_change = 0.0
     for shard in shards:
         owner = view.owners[shard]
         measured = view.loads.get(shard, 0.0)
@@ -367,38 +378,38 @@
             state.loads[shard] = state.fast_loads[shard] = measured
             continue
         if state.owners.get(shard, owner) != owner and owner is not None:
-            state.held_until_s[shard] = now_s + HOLD_S
-        if owner is None or is_held(state, shard, now_s):
+            state.ignore_moved_until_s[shard] = now_s + IGNORE_LOAD_S
+        if owner is None or is_load_ignored(state, shard, now_s):
             continue
         fast = state.fast_loads[shard]
         fast += fast_step * (measured - fast)
-        if abs(fast - slow) > CHANGED_PART * max(fast, slow):
-            state.changed_until_s[shard] = now_s + CHANGED_S
-            state.changed_from.setdefault(shard, slow)
+        if abs(fast - slow) > CHANGE_THRESHOLD * max(fast, slow):
+            state.changed_until_s[shard] = now_s + CHANGE_PERIOD_S
+            state.load_before_change.setdefault(shard, slow)
         if state.changed_until_s.get(shard, -math.inf) > now_s:
-            changed += abs(fast - state.changed_from[shard])
+            total_change += abs(fast - state.load_before_change[shard])
             slow = fast
         else:
-            state.changed_from.pop(shard, None)
+            state.load_before_change.pop(shard, None)
             slow += slow_step * (measured - slow)
         state.loads[shard] = slow
         state.fast_loads[shard] = fast
-    if changed > CHANGED_SUM * sum(state.loads[shard] for shard in shards):
-        state.changed_service_until_s[service] = now_s + CHANGED_S
+    if total_change > SERVICE_CHANGE_THRESHOLD * sum(state.loads[shard] for shard in shards):
+        state.changed_service_until_s[service] = now_s + CHANGE_PERIOD_S
     if state.changed_service_until_s.get(service, -math.inf) > now_s:
         for shard in shards:
             state.loads[shard] = state.fast_loads[shard]
 
 
-def is_held(state: State, shard: identity.ShardId, now_s: float) -> bool:
-    """Say whether the reported load of a shard is too young to be used.
+def is_load_ignored(state: State, shard: identity.ShardId, now_s: float) -> bool:
+    """Return whether the reported load of a shard covers too short a time to be used.
 
     :param state: the state.
     :param shard: the shard.
-    :param now_s: the time.
+    :param now_s: the current time.
     """
-    held_s = state.held_until_s.get(shard, -math.inf)
-    return max(held_s, state.divided_until_s.get(shard, -math.inf)) > now_s
+    held_s = state.ignore_moved_until_s.get(shard, -math.inf)
+    return max(held_s, state.ignore_split_until_s.get(shard, -math.inf)) > now_s
 
 
 def transfer_loads(
@@ -406,7 +417,7 @@
     view: assignment.PlacementView,
     services: dict[identity.ServiceId, objects.Service],
 ) -> None:
-    """Carry the smoothed loads over when keys were split off or merged since the last view.
+    """Transfer average load between keys and partitions that were split or merged since last time.
 
     :param state: changed in place.
     :param view: the view.
@@ -425,290 +436,301 @@
             moved = -state.loads.get(shard, 0.0)
         state.fast_loads[parent] -= moved
         state.loads[parent] = state.fast_loads[parent]
-        state.divided_until_s[parent] = state.divided_until_s[shard] = view.now_s + HOLD_S
+        state.ignore_split_until_s[parent] = state.ignore_split_until_s[shard] = (
+            view.now_s + IGNORE_LOAD_S
+        )
 
 
-def observe_members(
-    state: State, view: assignment.PlacementView, all_limits: list[Constraints]
+def update_members(
+    state: State, view: assignment.PlacementView, all_constraints: list[Constraints]
 ) -> None:
-    """Note since when members are eligible, and since when their targets are cold.
+    """Record since when members are eligible, and since when their targets are cold.
 
-    Members of the first view count as eligible for long.
+    Members of the first view count as eligible for ``MIN_ELIGIBLE_S`` already.
 
     :param state: changed in place.
     :param view: the view.
-    :param all_limits: the limits of the keyed services.
+    :param all_constraints: the constraints of the keyed services.
     """
     now_s = view.now_s
-    since_s = now_s - RETURN_S if state.measured_s is None else now_s
+    since_s = now_s - MIN_ELIGIBLE_S if state.observed_s is None else now_s
     eligible = {
         node
-        for limits in all_limits
+        for constraints in all_constraints
         for node, member in view.members.items()
-        if is_eligible(member, limits)
+        if is_eligible(member, constraints)
     }
     cold = {node for node in eligible if view.members[node].is_cold}
-    if state.measured_s is not None:
-        state.filling |= eligible - state.eligible_since_s.keys()
-    state.filling = (state.filling | cold) & eligible
+    if state.observed_s is not None:
+        state.underfilled |= eligible - state.eligible_since_s.keys()
+    state.underfilled = (state.underfilled | cold) & eligible
     state.eligible_since_s = {node: state.eligible_since_s.get(node, since_s) for node in eligible}
     state.cold_since_s = {node: state.cold_since_s.get(node, now_s) for node in cold}
 
 
-def build_board(
-    limits: Constraints,
+def build_layout(
+    constraints: Constraints,
     view: assignment.PlacementView,
     state: State,
     shards: list[identity.ShardId],
-) -> Board:
-    """Lay out the shards of a service at their present owners.
+) -> Layout:
+    """Build the layout of a service's shards with their present owners.
 
-    :param limits: the limits of the service.
+    :param constraints: the constraints of the service.
     :param view: the view.
-    :param state: the state, after :func:`observe`.
+    :param state: the state, after :func:`update_loads`.
     :param shards: the shards of the service.
     """
     members = {
-        node: member for node, member in sorted(view.members.items()) if is_eligible(member, limits)
+        node: member
+        for node, member in sorted(view.members.items())
+        if is_eligible(member, constraints)
     }
     cold_since_s = state.cold_since_s
     capacity = {
-        node: find_capacity(member, limits.service, cold_since_s.get(node), view.now_s)
+        node: find_capacity(member, constraints.service, cold_since_s.get(node), view.now_s)
         for node, member in members.items()
     }
-    slots = sum(member.slots or limits.service.slots for member in members.values())
+    slots = sum(member.slots or constraints.service.slots for member in members.values())
     idle = IDLE_UTILISATION * slots / max(1, len(shards))
-    prefix = identity.name_key(limits.service.name, identity.KeyId(""))
-    board = Board(
-        limits=limits,
+    prefix = identity.name_key(constraints.service.name, identity.KeyId(""))
+    layout = Layout(
+        constraints=constraints,
         members=members,
         capacity=capacity,
         cold=frozenset(node for node in members if node in cold_since_s),
         weights={shard: state.loads[shard] + idle for shard in shards},
-        apart=[shard for shard in shards if shard.startswith(prefix)],
+        key_shards=[shard for shard in shards if shard.startswith(prefix)],
         owners={},
-        held={node: set() for node in members},
+        shards_by_node={node: set() for node in members},
         node_weight=dict.fromkeys(members, 0.0),
         zone_weight={member.zone: 0.0 for member in members.values()},
         zone_capacity={member.zone: 0.0 for member in members.values()},
     )
     for node, member in members.items():
-        board.zone_capacity[member.zone] += capacity[node]
+        layout.zone_capacity[member.zone] += capacity[node]
     for shard in shards:
         owner = view.owners[shard]
         if owner is not None:
-            put(board, shard, owner)
-    return board
+            assign(layout, shard, owner)
+    return layout
 
 
-def put(board: Board, shard: identity.ShardId, node: identity.NodeId) -> None:
-    """Move a shard to a node on the board.
+def assign(layout: Layout, shard: identity.ShardId, node: identity.NodeId) -> None:
+    """Make a node the owner of a shard and update the sums of the layout.
 
-    :param board: changed in place.
+    :param layout: changed in place.
     :param shard: the shard.
     :param node: its next owner.
     """
-    weight = board.weights[shard]
-    source = board.owners.get(shard)
+    weight = layout.weights[shard]
+    source = layout.owners.get(shard)
     for holder, change in ((source, -weight), (node, weight)):
-        if holder in board.members:
-            board.node_weight[holder] += change
-            board.zone_weight[board.members[holder].zone] += change
-    if source in board.members:
-        board.held[source].discard(shard)
-    if node in board.members:
-        board.held[node].add(shard)
-    board.owners[shard] = node
-
-
-def rate(board: Board, node: identity.NodeId, weight: float) -> float:
-    """Return how busy a node and its zone would be with more load; lower is better.
-
-    :param board: the board.
-    :param node: a member on the board.
-    :param weight: the load to add.
+        if holder in layout.members:
+            layout.node_weight[holder] += change
+            layout.zone_weight[layout.members[holder].zone] += change
+    if source in layout.members:
+        layout.shards_by_node[source].discard(shard)
+    if node in layout.members:
+        layout.shards_by_node[node].add(shard)
+    layout.owners[shard] = node
+
+
+def score_node(layout: Layout, node: identity.NodeId, weight: float) -> float:
+    """Return the weighted utilisation of a node and its zone with more load; lower is better.
+
+    :param layout: the layout.
+    :param node: a member in the layout.
+    :param weight: the load to add, in slots.
     """
-    zone = board.members[node].zone
-    return (board.node_weight[node] + weight) / board.capacity[node] + ZONE_WEIGHT * (
-        board.zone_weight[zone] + weight
-    ) / board.zone_capacity[zone]
+    zone = layout.members[node].zone
+    return (layout.node_weight[node] + weight) / layout.capacity[node] + ZONE_WEIGHT * (
+        layout.zone_weight[zone] + weight
+    ) / layout.zone_capacity[zone]
 
 
-def choose_target(board: Board, shard: identity.ShardId) -> identity.NodeId | None:
-    """Return the node that can take a shard best, or ``None`` when no node may have it.
+def choose_target(layout: Layout, shard: identity.ShardId) -> identity.NodeId | None:
+    """Return the allowed node with the lowest score, or ``None`` when no node may own the shard.
 
-    :param board: the board.
+    :param layout: the layout.
     :param shard: the shard.
     """
     allowed = [
-        node for node, member in board.members.items() if is_allowed(member, shard, board.limits)
+        node
+        for node, member in layout.members.items()
+        if is_allowed(member, shard, layout.constraints)
     ]
-    weight = board.weights[shard]
-    return min(allowed, key=lambda node: (rate(board, node, weight), node), default=None)
+    weight = layout.weights[shard]
+    return min(allowed, key=lambda node: (score_node(layout, node, weight), node), default=None)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Share:
-    """What the nodes of a service should carry.
+class FairShare:
+    """The load that each node of a service should carry.
 
-    ``level`` is the load per unit of capacity when all is even. ``floors`` gives what a node can't
-    fall below: its heaviest shard, and for a cold node all it has, as coldness alone moves nothing.
+    ``utilisation`` is the load per slot of capacity in an even distribution. ``min_loads`` is the
+    load that a node can't fall below: that of its heaviest shard, or for a cold node its whole
+    present load, because a cold target alone is no reason to move shards.
     """
 
-    level: float
-    floors: dict[identity.NodeId, float]
+    utilisation: float
+    min_loads: dict[identity.NodeId, float]
 
 
-def find_share(board: Board) -> Share:
-    """Compute the even load of the nodes that may own partitions.
+def find_fair_share(layout: Layout) -> FairShare:
+    """Compute the fair share of the nodes that may own partitions.
 
-    A node whose floor is above the even load keeps its floor, and the others share the rest.
+    A node whose minimum load exceeds the even load keeps the minimum; the others share the rest.
 
-    :param board: the board.
+    :param layout: the layout.
     """
-    zones = board.limits.zones
+    zones = layout.constraints.zones
     nodes = [
-        node for node, member in board.members.items() if zones is None or member.zone in zones
+        node for node, member in layout.members.items() if zones is None or member.zone in zones
     ]
-    floors = {
+    min_loads = {
         node: (
-            board.node_weight[node]
-            if node in board.cold
-            else max((board.weights[shard] for shard in board.held[node]), default=0.0)
+            layout.node_weight[node]
+            if node in layout.cold
+            else max((layout.weights[shard] for shard in layout.shards_by_node[node]), default=0.0)
         )
         for node in nodes
     }
-    total = sum(board.node_weight[node] for node in nodes)
-    level = 0.0
-    pinned: set[identity.NodeId] = set()
-    while len(pinned) < len(nodes):
-        rest = total - sum(floors[node] for node in pinned)
-        level = rest / sum(board.capacity[node] for node in nodes if node not in pinned)
+    total = sum(layout.node_weight[node] for node in nodes)
+    utilisation = 0.0
+    at_min_load: set[identity.NodeId] = set()
+    while len(at_min_load) < len(nodes):
+        rest = total - sum(min_loads[node] for node in at_min_load)
+        utilisation = rest / sum(layout.capacity[node] for node in nodes if node not in at_min_load)
         above = {
             node
             for node in nodes
-            if node not in pinned and floors[node] > level * board.capacity[node]
+            if node not in at_min_load and min_loads[node] > utilisation * layout.capacity[node]
         }
         if not above:
             break
-        pinned |= above
-    return Share(level=level, floors=floors)
+        at_min_load |= above
+    return FairShare(utilisation=utilisation, min_loads=min_loads)
 
 
-def find_gap(board: Board, share: Share, node: identity.NodeId) -> float:
-    """Return how far a node is above (positive) or below its share, in shares.
+def find_gap(layout: Layout, share: FairShare, node: identity.NodeId) -> float:
+    """Return how far a node is above (positive) or below its fair share, as a fraction of it.
 
-    :param board: the board.
-    :param share: from :func:`find_share`.
+    :param layout: the layout.
+    :param share: from :func:`find_fair_share`.
     :param node: a node that the share covers.
     """
-    even = share.level * board.capacity[node]
-    weight = board.node_weight[node]
-    goal = even if weight < even else max(even, share.floors[node])
-    return (weight - goal) / even if even > 0.0 else 0.0
+    fair_load = share.utilisation * layout.capacity[node]
+    weight = layout.node_weight[node]
+    goal = fair_load if weight < fair_load else max(fair_load, share.min_loads[node])
+    return (weight - goal) / fair_load if fair_load > 0.0 else 0.0
 
 
 def pick_move(
-    board: Board,
+    layout: Layout,
     state: State,
-    share: Share,
+    share: FairShare,
     receivers: list[identity.NodeId],
     fixed: collections.abc.Container[identity.ShardId],
-    least_gap: float,
+    min_gap: float,
 ) -> tuple[identity.ShardId, identity.NodeId] | None:
-    """Return the shard whose move evens out the load most, and its target.
+    """Return the next shard to move to balance the load and its target, or ``None``.
+
+    Tries the most overloaded donor and the least utilised receiver first.
 
-    :param board: the board.
+    :param layout: the layout.
     :param state: the state.
-    :param share: from :func:`find_share`.
-    :param receivers: the nodes that may get shards.
+    :param share: from :func:`find_fair_share`.
+    :param receivers: the nodes that may receive shards.
     :param fixed: shards that must not move now.
-    :param least_gap: the least difference between source and target, in shares.
+    :param min_gap: the minimum difference between the gaps of source and target, in fair shares.
     """
-    gaps = {node: find_gap(board, share, node) for node in share.floors}
+    gaps = {node: find_gap(layout, share, node) for node in share.min_loads}
     donors = sorted((node for node in gaps if gaps[node] > 0.0), key=lambda n: (-gaps[n], n))
-    takers = sorted(
+    candidates = sorted(
         (node for node in receivers if gaps[node] < 0.0),
-        key=lambda node: (rate(board, node, 0.0), node),
+        key=lambda node: (score_node(layout, node, 0.0), node),
     )
     for donor in donors:
         movable = sorted(
-            (shard for shard in board.held[donor] if shard not in fixed),
-            key=lambda shard: (-board.weights[shard], shard),
+            (shard for shard in layout.shards_by_node[donor] if shard not in fixed),
+            key=lambda shard: (-layout.weights[shard], shard),
         )
-        for taker in takers:
-            if gaps[donor] - gaps[taker] < least_gap:
+        for receiver in candidates:
+            if gaps[donor] - gaps[receiver] < min_gap:
                 continue
-            shard = fit_shard(board, state, share, movable, donor, taker)
+            shard = pick_shard(layout, state, share, movable, donor, receiver)
             if shard is not None:
-                return shard, taker
+                return shard, receiver
     return None
 
 
-def fit_shard(
-    board: Board,
+def pick_shard(
+    layout: Layout,
     state: State,
-    share: Share,
+    share: FairShare,
     movable: list[identity.ShardId],
     donor: identity.NodeId,
-    taker: identity.NodeId,
+    receiver: identity.NodeId,
 ) -> identity.ShardId | None:
-    """Return the shard to move from one node to another, or ``None`` when none helps.
+    """Return the shard to move from one node to another, or ``None`` when no shard helps.
 
-    The shard closest to what the taker lacks takes the fewest moves. Shards that the taker lost
-    come first, up to its fair number, so that its return restores the assignment before its loss.
+    The shard whose load is closest to the load to be moved needs the fewest moves. Shards that the
+    receiver lost earlier come first, up to its fair number of shards, so that the return of a node
+    restores the assignment before its loss.
 
-    :param board: the board.
+    :param layout: the layout.
     :param state: the state.
-    :param share: from :func:`find_share`.
+    :param share: from :func:`find_fair_share`.
     :param movable: the shards of the donor that may move, heaviest first.
     :param donor: the present owner.
-    :param taker: the next owner.
+    :param receiver: the next owner.
     """
-    level, weight, capacity = share.level, board.node_weight, board.capacity
-    surplus = weight[donor] - max(level * capacity[donor], share.floors[donor])
-    room = min(surplus, level * capacity[taker] - weight[taker])
-    highest = weight[donor] / capacity[donor] - MIN_GAIN * level
-    member = board.members[taker]
-    fair_number = len(board.weights) * capacity[taker] / sum(capacity.values())
-    takes_back = len(board.held[taker]) + 1 <= fair_number
+    utilisation, weight, capacity = share.utilisation, layout.node_weight, layout.capacity
+    surplus = weight[donor] - max(utilisation * capacity[donor], share.min_loads[donor])
+    transferable = min(surplus, utilisation * capacity[receiver] - weight[receiver])
+    max_utilisation = weight[donor] / capacity[donor] - MIN_GAIN * utilisation
+    member = layout.members[receiver]
+    fair_count = len(layout.weights) * capacity[receiver] / sum(capacity.values())
+    may_take_back = len(layout.shards_by_node[receiver]) + 1 <= fair_count
     best: identity.ShardId | None = None
     for shard in movable:
-        load = board.weights[shard]
-        if (weight[taker] + load) / capacity[taker] > highest:
+        load = layout.weights[shard]
+        if (weight[receiver] + load) / capacity[receiver] > max_utilisation:
             continue
-        if not is_allowed(member, shard, board.limits):
+        if not is_allowed(member, shard, layout.constraints):
             continue
-        if takes_back and load <= room and state.former.get(shard) == taker:
+        if may_take_back and load <= transferable and state.former_owners.get(shard) == receiver:
             return shard
-        if best is None or abs(load - room) < abs(board.weights[best] - room):
+        if best is None or abs(load - transferable) < abs(layout.weights[best] - transferable):
             best = shard
-    if best is not None and board.weights[best] < LEAST_PART * room:
+    if best is not None and layout.weights[best] < MIN_MOVE_FRACTION * transferable:
         return None
     return best
 
 
 def plan_forced(
-    board: Board,
+    layout: Layout,
     view: assignment.PlacementView,
     state: State,
     shards: list[identity.ShardId],
     planned: dict[identity.ShardId, assignment.Move],
 ) -> bool:
-    """Plan the moves of shards that can't stay where they are; say whether any can move.
+    """Plan the moves of shards that can't stay with their owner; return whether any can move.
 
-    Orphans all move at once. Nodes that must be emptied give up ``DRAIN_MOVES`` shards at a time.
+    Orphaned shards all move at once. Each node that must give up shards for another reason gives up
+    at most ``DRAIN_MOVES_PER_ROUND`` at a time.
 
-    :param board: changed in place.
+    :param layout: changed in place.
     :param view: the view.
     :param state: changed in place.
     :param shards: the shards of the service.
     :param planned: the moves planned so far; changed in place.
     """
     is_forced = False
-    limits = board.limits
+    constraints = layout.constraints
     reasons = {
-        owner: find_node_reason(owner, view.members, limits)
+        owner: find_node_reason(owner, view.members, constraints)
         for owner in {view.owners[shard] for shard in shards}
     }
     forced = []
@@ -716,10 +738,10 @@
         owner = view.owners[shard]
         reason = reasons[owner]
         if reason is None and owner is not None:
-            # Most services have no rules; this keeps a round short.
-            if limits.zones is None and shard not in limits.key_zones:
+            # Most services have no rules; skipping them keeps a round short.
+            if constraints.zones is None and shard not in constraints.key_zones:
                 continue
-            if not is_allowed(view.members[owner], shard, limits):
+            if not is_allowed(view.members[owner], shard, constraints):
                 reason = assignment.MoveReason.RULE
         if reason is not None:
             forced.append((shard, reason))
@@ -727,252 +749,260 @@
     for move in planned.values():
         if move.source is not None and move.reason is not assignment.MoveReason.ORPHANED:
             in_flight[move.source] = in_flight.get(move.source, 0) + 1
-    for shard, reason in sorted(forced, key=lambda entry: (-board.weights[entry[0]], entry[0])):
+    for shard, reason in sorted(forced, key=lambda entry: (-layout.weights[entry[0]], entry[0])):
         if shard in planned:
             is_forced = True
             continue
         owner = view.owners[shard]
-        target = choose_target(board, shard)
+        target = choose_target(layout, shard)
         if target is None:
             continue
         is_forced = True
         if reason is not assignment.MoveReason.ORPHANED and owner is not None:
-            if in_flight.get(owner, 0) >= DRAIN_MOVES:
+            if in_flight.get(owner, 0) >= DRAIN_MOVES_PER_ROUND:
                 continue
             in_flight[owner] = in_flight.get(owner, 0) + 1
-            state.former[shard] = owner
-        put(board, shard, target)
+            state.former_owners[shard] = owner
+        assign(layout, shard, target)
         planned[shard] = assignment.Move(shard=shard, source=owner, target=target, reason=reason)
     return is_forced
 
 
 def plan_keys(
-    board: Board,
+    layout: Layout,
     view: assignment.PlacementView,
     state: State,
     planned: dict[identity.ShardId, assignment.Move],
 ) -> tuple[list[identity.ShardId], list[identity.ShardId]]:
-    """Return the keys to split off and those to merge, and plan the moves that merging needs.
+    """Return the keys to split off and those to merge, and plan the moves that merges need.
 
-    :param board: changed in place.
+    A key can be merged once its owner also owns its partition.
+
+    :param layout: changed in place.
     :param view: the view.
     :param state: changed in place.
     :param planned: the moves planned so far; changed in place.
     """
     now_s = view.now_s
-    services = {board.limits.service.name: board.limits.service}
-    named = board.limits.key_zones.keys()
-    fair = sum(board.weights.values()) / max(1, len(board.members))
+    services = {layout.constraints.service.name: layout.constraints.service}
+    named_keys = layout.constraints.key_zones.keys()
+    fair_load = sum(layout.weights.values()) / max(1, len(layout.members))
     split: list[identity.ShardId] = []
     merge: list[identity.ShardId] = []
-    busy = sum(move.reason is assignment.MoveReason.HOT_KEY for move in planned.values())
-    own = [key for key in state.key_loads if identity.split_shard(key)[0] in services]
-    hot = [key for key in own if state.key_loads[key] > SPLIT_SHARE * fair]
-    for key in own:
-        if key not in hot:
+    merging = sum(move.reason is assignment.MoveReason.HOT_KEY for move in planned.values())
+    service_keys = [key for key in state.key_loads if identity.split_shard(key)[0] in services]
+    hot_keys = [key for key in service_keys if state.key_loads[key] > SPLIT_SHARE * fair_load]
+    for key in service_keys:
+        if key not in hot_keys:
             state.hot_since_s.pop(key, None)
-    since_s = {key: state.hot_since_s.setdefault(key, now_s) for key in hot}
-    lasting = [key for key in hot if now_s - since_s[key] >= SPLIT_S]
-    lasting.sort(key=lambda key: (-state.key_loads[key], key))
-    missing = sorted(key for key in named if key not in view.owners)
-    for key in missing + [key for key in lasting[:STEP_KEYS] if key not in missing]:
+    since_s = {key: state.hot_since_s.setdefault(key, now_s) for key in hot_keys}
+    persistent = [key for key in hot_keys if now_s - since_s[key] >= SPLIT_AFTER_S]
+    persistent.sort(key=lambda key: (-state.key_loads[key], key))
+    missing_keys = sorted(key for key in named_keys if key not in view.owners)
+    for key in missing_keys + [
+        key for key in persistent[:KEYS_PER_ROUND] if key not in missing_keys
+    ]:
         parent = find_parent(key, services)
-        if parent in board.owners and parent not in planned:
+        if parent in layout.owners and parent not in planned:
             split.append(key)
-    for key in board.apart:
-        if key in named or board.weights[key] > MERGE_SHARE * fair:
+    for key in layout.key_shards:
+        if key in named_keys or layout.weights[key] > MERGE_SHARE * fair_load:
             state.cool_since_s.pop(key, None)
             continue
-        if now_s - state.cool_since_s.setdefault(key, now_s) < MERGE_S or key in planned:
+        if now_s - state.cool_since_s.setdefault(key, now_s) < MERGE_AFTER_S or key in planned:
             continue
         parent = find_parent(key, services)
-        home = board.owners.get(parent) if parent is not None else None
-        if home not in board.members or parent in planned or busy >= STEP_KEYS:
+        parent_owner = layout.owners.get(parent) if parent is not None else None
+        if parent_owner not in layout.members or parent in planned or merging >= KEYS_PER_ROUND:
             continue
-        busy += 1
-        if board.owners.get(key) == home:
+        merging += 1
+        if layout.owners.get(key) == parent_owner:
             merge.append(key)
-        elif key in board.owners:
+        elif key in layout.owners:
             planned[key] = assignment.Move(
                 shard=key,
-                source=board.owners[key],
-                target=home,
+                source=layout.owners[key],
+                target=parent_owner,
                 reason=assignment.MoveReason.HOT_KEY,
             )
-            put(board, key, home)
+            assign(layout, key, parent_owner)
     return split, merge
 
 
 def plan_rebalance(
-    board: Board,
+    layout: Layout,
     state: State,
     now_s: float,
     planned: dict[identity.ShardId, assignment.Move],
 ) -> None:
-    """Plan moves that even out the load once it has been uneven for some time.
+    """Plan moves that balance the load, from the queue of the last decision or from a new one.
 
-    :param board: changed in place.
+    :param layout: changed in place.
     :param state: changed in place.
-    :param now_s: the time.
+    :param now_s: the current time.
     :param planned: the moves planned so far; changed in place.
     """
-    service = board.limits.service.name
+    service = layout.constraints.service.name
     fixed = set(planned)
-    fixed |= {shard for shard, until_s in state.held_until_s.items() if until_s > now_s}
+    fixed |= {shard for shard, until_s in state.ignore_moved_until_s.items() if until_s > now_s}
     queue = [
         move
-        for move in state.queues.get(service, [])
-        if board.owners.get(move.shard) == move.source
+        for move in state.move_queues.get(service, [])
+        if layout.owners.get(move.shard) == move.source
         and move.shard not in fixed
-        and move.target in board.members
-        and is_allowed(board.members[move.target], move.shard, board.limits)
+        and move.target in layout.members
+        and is_allowed(layout.members[move.target], move.shard, layout.constraints)
     ]
     if not queue:
-        queue = find_queue(board, state, now_s, fixed)
-    budget = STEP_MOVES - len(planned)
-    if budget > 0 and now_s - state.moved_s.get(service, -math.inf) >= STEP_S:
+        queue = queue_moves(layout, state, now_s, fixed)
+    budget = MOVES_PER_ROUND - len(planned)
+    if budget > 0 and now_s - state.rebalanced_s.get(service, -math.inf) >= ROUND_INTERVAL_S:
         for move in queue[:budget]:
             planned[move.shard] = move
-            state.moved_s[service] = now_s
+            state.rebalanced_s[service] = now_s
         queue = queue[budget:]
-    state.queues[service] = queue
+    state.move_queues[service] = queue
 
 
-def find_queue(
-    board: Board,
+def queue_moves(
+    layout: Layout,
     state: State,
     now_s: float,
     fixed: set[identity.ShardId],
 ) -> list[assignment.Move]:
-    """Return the moves that even out the load, or none while it is even or not uneven for long.
+    """Return the moves that balance the load; none if it is balanced or became imbalanced recently.
 
-    :param board: changed in place; the moves are done on it.
+    :param layout: changed in place; the moves are applied to it.
     :param state: changed in place.
-    :param now_s: the time.
+    :param now_s: the current time.
     :param fixed: shards that must not move now; changed in place.
     """
-    service = board.limits.service.name
-    # Moving a hot key alone takes fewer moves than moving others away from it.
+    service = layout.constraints.service.name
+    # Splitting off a hot key takes fewer moves than moving other shards away from it.
     is_splitting = any(identity.split_shard(key)[0] == service for key in state.hot_since_s)
     queue: list[assignment.Move] = []
-    share = find_share(board)
-    receivers = [n for n in share.floors if now_s - state.eligible_since_s[n] >= RETURN_S]
-    lacking = [n for n in receivers if find_gap(board, share, n) < -FILL_GAP]
-    state.filling -= set(receivers) - set(lacking) - board.cold
-    lacking = [node for node in lacking if node in state.filling]
-    least_gap = START_GAP
-    if lacking and find_largest_gap(board, share, receivers) <= START_GAP:
-        receivers, least_gap = lacking, FILL_GAP
-    while len(queue) < QUEUE_MOVES:
-        gap = find_largest_gap(board, share, receivers)
-        if gap <= least_gap:
+    share = find_fair_share(layout)
+    receivers = [n for n in share.min_loads if now_s - state.eligible_since_s[n] >= MIN_ELIGIBLE_S]
+    below_share = [n for n in receivers if find_gap(layout, share, n) < -FILL_GAP]
+    state.underfilled -= set(receivers) - set(below_share) - layout.cold
+    below_share = [node for node in below_share if node in state.underfilled]
+    min_gap = START_GAP
+    if below_share and find_largest_gap(layout, share, receivers) <= START_GAP:
+        receivers, min_gap = below_share, FILL_GAP
+    while len(queue) < MAX_QUEUED_MOVES:
+        gap = find_largest_gap(layout, share, receivers)
+        if gap <= min_gap:
             break
-        pick = pick_move(board, state, share, receivers, fixed, least_gap)
+        pick = pick_move(layout, state, share, receivers, fixed, min_gap)
         if pick is None:
             break
-        # A node that fills up is no noise; its gap need not be watched for as long.
-        shown_gap = LARGE_GAP if least_gap == FILL_GAP else gap
-        if not queue and (is_recent(state, service, shown_gap, now_s) or is_splitting):
+        # The gap of a node that returned or was cold is not noise and need not be observed as long.
+        effective_gap = LARGE_GAP if min_gap == FILL_GAP else gap
+        if not queue and (
+            is_imbalance_recent(state, service, effective_gap, now_s) or is_splitting
+        ):
             return []
-        least_gap = STOP_GAP
+        min_gap = STOP_GAP
         shard, target = pick
         is_key = identity.split_shard(shard)[2] is not None
         reason = assignment.MoveReason.HOT_KEY if is_key else assignment.MoveReason.REBALANCE
-        source = board.owners[shard]
+        source = layout.owners[shard]
         queue.append(assignment.Move(shard=shard, source=source, target=target, reason=reason))
-        put(board, shard, target)
+        assign(layout, shard, target)
         fixed.add(shard)
-        share = find_share(board)
-    state.uneven_since_s.pop(service, None)
-    state.large_since_s.pop(service, None)
+        share = find_fair_share(layout)
+    state.imbalanced_since_s.pop(service, None)
+    state.large_gap_since_s.pop(service, None)
     return queue
 
 
-def find_largest_gap(board: Board, share: Share, receivers: list[identity.NodeId]) -> float:
-    """Return how far a node is from its share at most: above it, or below it for a receiver.
+def find_largest_gap(layout: Layout, share: FairShare, receivers: list[identity.NodeId]) -> float:
+    """Return the largest gap: above the fair share for any node, below it only for receivers.
 
-    :param board: the board.
-    :param share: from :func:`find_share`.
-    :param receivers: the nodes that may get shards.
+    :param layout: the layout.
+    :param share: from :func:`find_fair_share`.
+    :param receivers: the nodes that may receive shards.
     """
-    above = [find_gap(board, share, node) for node in share.floors]
-    below = [-find_gap(board, share, node) for node in receivers]
+    above = [find_gap(layout, share, node) for node in share.min_loads]
+    below = [-find_gap(layout, share, node) for node in receivers]
     return max(above + below, default=0.0)
 
 
-def is_recent(state: State, service: identity.ServiceId, gap: float, now_s: float) -> bool:
-    """Say whether an uneven load has not lasted long enough to move shards.
+def is_imbalance_recent(
+    state: State, service: identity.ServiceId, gap: float, now_s: float
+) -> bool:
+    """Return whether an imbalance has not lasted long enough to move shards.
 
     :param state: changed in place.
     :param service: the service.
     :param gap: the largest gap, above ``START_GAP``.
-    :param now_s: the time.
+    :param now_s: the current time.
     """
     if gap < LARGE_GAP:
-        state.large_since_s.pop(service, None)
-    elif now_s - state.large_since_s.setdefault(service, now_s) >= LARGE_GAP_S:
+        state.large_gap_since_s.pop(service, None)
+    elif now_s - state.large_gap_since_s.setdefault(service, now_s) >= LARGE_GAP_S:
         return False
-    return now_s - state.uneven_since_s.setdefault(service, now_s) < SMALL_GAP_S
+    return now_s - state.imbalanced_since_s.setdefault(service, now_s) < SMALL_GAP_S
 
 
-def keep_pending(
-    board: Board,
+def repeat_pending(
+    layout: Layout,
     view: assignment.PlacementView,
     state: State,
     planned: dict[identity.ShardId, assignment.Move],
 ) -> None:
-    """Repeat the moves that were planned before, still make sense and are not yet visible.
+    """Repeat earlier moves that are not visible yet, have not timed out and are still valid.
 
-    :param board: changed in place.
+    :param layout: changed in place.
     :param view: the view.
     :param state: the state.
     :param planned: the moves planned so far; changed in place.
     """
     for shard, pending in state.pending.items():
-        if shard not in board.weights:
+        if shard not in layout.weights:
             continue
         move = pending.move
-        reason = find_reason(shard, view.owners[shard], view.members, board.limits)
+        reason = find_reason(shard, view.owners[shard], view.members, layout.constraints)
         is_voluntary = move.reason in (
             assignment.MoveReason.REBALANCE,
             assignment.MoveReason.HOT_KEY,
         )
-        target = board.members.get(move.target)
+        target = layout.members.get(move.target)
         if (
             view.owners[shard] == move.source
             and reason is (None if is_voluntary else move.reason)
             and target is not None
-            and is_allowed(target, shard, board.limits)
-            and view.now_s - pending.planned_s < PENDING_S
+            and is_allowed(target, shard, layout.constraints)
+            and view.now_s - pending.planned_s < PENDING_TIMEOUT_S
         ):
-            put(board, shard, move.target)
+            assign(layout, shard, move.target)
             planned[shard] = move
 
 
 def plan_service(
-    limits: Constraints,
+    constraints: Constraints,
     view: assignment.PlacementView,
     state: State,
     shards: list[identity.ShardId],
 ) -> assignment.Plan:
     """Plan the changes for one service.
 
-    :param limits: the limits of the service.
+    :param constraints: the constraints of the service.
     :param view: the view.
     :param state: changed in place.
     :param shards: the shards of the service, sorted.
     """
-    board = build_board(limits, view, state, shards)
+    layout = build_layout(constraints, view, state, shards)
     planned: dict[identity.ShardId, assignment.Move] = {}
-    keep_pending(board, view, state, planned)
-    forced = plan_forced(board, view, state, shards, planned)
-    split, merge = plan_keys(board, view, state, planned)
+    repeat_pending(layout, view, state, planned)
+    forced = plan_forced(layout, view, state, shards, planned)
+    split, merge = plan_keys(layout, view, state, planned)
     if forced:
-        state.uneven_since_s.pop(limits.service.name, None)
-        state.large_since_s.pop(limits.service.name, None)
-        state.queues.pop(limits.service.name, None)
+        state.imbalanced_since_s.pop(constraints.service.name, None)
+        state.large_gap_since_s.pop(constraints.service.name, None)
+        state.move_queues.pop(constraints.service.name, None)
     else:
-        plan_rebalance(board, state, view.now_s, planned)
+        plan_rebalance(layout, state, view.now_s, planned)
     return assignment.Plan(split=split, merge=merge, moves=list(planned.values()))
 
 
@@ -980,40 +1010,41 @@
     """Return the placement function for a configuration.
 
     :param snapshot: the configuration.
-    :param state: kept by the caller when the configuration changes; changed at each call.
+    :param state: changed at each call; the caller keeps it when the configuration changes.
     """
-    all_limits = [
+    all_constraints = [
         build_constraints(snapshot, service)
         for _, service in sorted(snapshot.services.items())
         if service.is_keyed
     ]
-    services = {limits.service.name: limits.service for limits in all_limits}
+    services = {constraints.service.name: constraints.service for constraints in all_constraints}
     shards: dict[identity.ServiceId, list[identity.ShardId]] = {}
-    known: set[identity.ShardId] = set()
+    known_shards: set[identity.ShardId] = set()
 
     def place(view: assignment.PlacementView) -> assignment.Plan:
-        # Shards change seldom; sorting them at each call would take a third of a round.
-        if known != view.owners.keys():
-            known.clear()
-            known.update(view.owners)
+        # The set of shards rarely changes; sorting it at each call would take a third of a round.
+        if known_shards != view.owners.keys():
+            known_shards.clear()
+            known_shards.update(view.owners)
             shards.update({name: [] for name in services})
-            for shard in sorted(known):
+            for shard in sorted(known_shards):
                 service, _, _ = identity.split_shard(shard)
                 if service in shards:
                     shards[service].append(shard)
-        note_losses(state, view)
-        observe_members(state, view, all_limits)
-        observe(state, view, services, shards)
+        record_losses(state, view)
+        update_members(state, view, all_constraints)
+        update_loads(state, view, services, shards)
         plans = [
-            plan_service(limits, view, state, shards[limits.service.name]) for limits in all_limits
+            plan_service(constraints, view, state, shards[constraints.service.name])
+            for constraints in all_constraints
         ]
         plan = assignment.Plan(
-            split=[key for part in plans for key in part.split],
-            merge=[key for part in plans for key in part.merge],
-            moves=[move for part in plans for move in part.moves],
+            split=[key for service_plan in plans for key in service_plan.split],
+            merge=[key for service_plan in plans for key in service_plan.merge],
+            moves=[move for service_plan in plans for move in service_plan.moves],
         )
         state.pending = {
-            move.shard: Pending(move=move, planned_s=find_planned_s(state, move, view.now_s))
+            move.shard: PendingMove(move=move, planned_s=find_planned_s(state, move, view.now_s))
             for move in plan.moves
         }
         return plan
@@ -1024,16 +1055,16 @@
 def find_planned_s(state: State, move: assignment.Move, now_s: float) -> float:
     """Return when a move was first planned.
 
-    :param state: the state before this round's moves are noted.
+    :param state: the state before this round's moves are recorded.
     :param move: the move.
-    :param now_s: the time.
+    :param now_s: the current time.
     """
     pending = state.pending.get(move.shard)
     return pending.planned_s if pending is not None and pending.move == move else now_s
 
 
-def note_losses(state: State, view: assignment.PlacementView) -> None:
-    """Note the last owner of shards whose owner failed since the last view.
+def record_losses(state: State, view: assignment.PlacementView) -> None:
+    """Record the last owner of shards whose owner failed since the last view.
 
     :param state: changed in place.
     :param view: the view.
@@ -1042,13 +1073,13 @@
         before = state.owners.get(shard)
         member = view.members.get(before) if before is not None else None
         if before is not None and (member is None or not member.is_target_up):
-            state.former[shard] = before
-        elif owner != before and state.former.get(shard) == owner:
-            state.former.pop(shard, None)
+            state.former_owners[shard] = before
+        elif owner != before and state.former_owners.get(shard) == owner:
+            state.former_owners.pop(shard, None)
 
 
 def explain(move: assignment.Move, view: assignment.PlacementView) -> str:
-    """Return a sentence for the log that says why a shard moves.
+    """Return a log sentence that states why a shard moves.
 
     :param move: a move planned for the view.
     :param view: the view.
--- a/tests/version/test_placement.py
+++ b/tests/version/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement: tables of faults, and checks that broken variants fail."""
+"""Tests of placement: checks for single failures, and broken variants that they must catch."""
 
 import collections
 import collections.abc
@@ -14,7 +14,7 @@
 
 Reason = assignment.MoveReason
 KEY = identity.name_key(worlds.SERVICE.name, identity.KeyId("hot"))
-HOME = identity.name_partition(
+PARENT = identity.name_partition(
     worlds.SERVICE.name, route.find_partition(worlds.SERVICE, identity.KeyId("hot"))
 )
 
@@ -23,40 +23,44 @@
     return objects.DrainOrder(name=f"drain-{fields}", reason="test", **fields)
 
 
-def lose_two(world: worlds.World) -> None:
-    worlds.lose(world, 1)
-    worlds.lose(world, 2)
+def remove_two_nodes(world: worlds.World) -> None:
+    worlds.remove_node(world, 1)
+    worlds.remove_node(world, 2)
 
 
-def add(*entries: objects.AnyObject) -> collections.abc.Callable[[worlds.World], None]:
+def add_objects(*entries: objects.AnyObject) -> collections.abc.Callable[[worlds.World], None]:
     return lambda world: world.entries.extend(entries)
 
 
 B = identity.ZoneId("b")
 WITHOUT_C = objects.AssignmentRule(name="rule", service=worlds.SERVICE.name, zones=worlds.ZONES[:2])
-# name: what happens, the nodes that lose their shards, the reason
+# Name of the fault: the change, the nodes that lose their shards, the reason of the moves.
 FAULTS: dict[str, tuple[collections.abc.Callable[[worlds.World], None], list[int], Reason]] = {
-    "lost": (functools.partial(worlds.lose, number=1), [1], Reason.ORPHANED),
-    "two-lost": (lose_two, [1, 2], Reason.ORPHANED),
+    "lost": (functools.partial(worlds.remove_node, number=1), [1], Reason.ORPHANED),
+    "two-lost": (remove_two_nodes, [1, 2], Reason.ORPHANED),
     "target-down": (
-        functools.partial(worlds.change, number=1, is_target_up=False),
+        functools.partial(worlds.change_member, number=1, is_target_up=False),
         [1],
         Reason.ORPHANED,
     ),
-    "leaving": (functools.partial(worlds.change, number=1, is_leaving=True), [1], Reason.LEAVING),
-    "node-drained": (add(drain(nodes=[worlds.node(1)])), [1], Reason.LEAVING),
-    "zone-drained": (add(drain(zone=B)), [1, 4], Reason.LEAVING),
-    "rule-changed": (add(WITHOUT_C), [2, 5], Reason.RULE),
+    "leaving": (
+        functools.partial(worlds.change_member, number=1, is_leaving=True),
+        [1],
+        Reason.LEAVING,
+    ),
+    "node-drained": (add_objects(drain(nodes=[worlds.node(1)])), [1], Reason.LEAVING),
+    "zone-drained": (add_objects(drain(zone=B)), [1, 4], Reason.LEAVING),
+    "rule-changed": (add_objects(WITHOUT_C), [2, 5], Reason.RULE),
 }
 
 
 def check_fault(name: str) -> None:
-    """Guards against moves of unaffected shards, wrong targets and a lopsided result."""
-    fault, numbers, reason = FAULTS[name]
-    # With two nodes, each owns 30 shards, more than one step of a drain.
+    """Guards against moves of unaffected shards, wrong targets and an imbalanced result."""
+    fault, node_numbers, reason = FAULTS[name]
+    # With two nodes, each owns 30 shards, more than a drain moves in one round.
     world = worlds.build_world(nodes=2 if name == "leaving" else 6)
     worlds.run(world, 5.0)
-    lost = {worlds.node(number) for number in numbers}
+    lost = {worlds.node(number) for number in node_numbers}
     affected = {shard for shard, owner in world.owners.items() if owner in lost}
     fault(world)
     plans = worlds.run(world, 30.0)
@@ -65,7 +69,7 @@
     assert {move.reason for move in moves} == {reason}
     assert all(worlds.may_own(world, move.target, move.shard) for move in moves)
     if reason is Reason.ORPHANED:
-        assert len(plans[0].moves) == len(affected), "orphans have to wait"
+        assert len(plans[0].moves) == len(affected), "orphaned shards must all move at once"
     for planned in plans:
         for source, number in collections.Counter(m.source for m in planned.moves).items():
             assert source is None or reason is Reason.ORPHANED or number <= 24
@@ -75,23 +79,23 @@
 
 @pytest.mark.parametrize("zones", [["a", "b", "c"], []], ids=["all-drained", "all-down"])
 def test_no_eligible_target_moves_nothing(zones: list[identity.ZoneId]) -> None:
-    """Guards against work taken from the last owners, or an exception, when nobody may own it."""
+    """Guards against moves, or an exception, when no node is eligible to own shards."""
     world = worlds.build_world()
     world.entries += [drain(zone=zone) for zone in zones]
     for number in range(0 if zones else len(world.members)):
-        worlds.change(world, number, is_target_up=False)
+        worlds.change_member(world, number, is_target_up=False)
     assert worlds.list_moves(worlds.run(world, 20.0)) == []
 
 
 def check_return(noise: float = 0.0) -> None:
-    """Guards against more than its fair share moving to a node that comes back."""
+    """Guards against moving more than a fair share to a node that returns after a loss."""
     world = worlds.build_world()
     rng = random.Random(1)
     exact = dict(world.loads)
     member = world.members[worlds.node(1)]
     worlds.run(world, 5.0)
     owned = {shard for shard, owner in world.owners.items() if owner == member.node}
-    worlds.lose(world, 1)
+    worlds.remove_node(world, 1)
     worlds.run(world, 20.0)
     world.members[member.node] = member
     back_s = world.now_s
@@ -100,8 +104,10 @@
         world.loads = {
             shard: load * rng.uniform(1 - noise, 1 + noise) for shard, load in exact.items()
         }
-        planned = worlds.plan(world)
-        assert not planned.moves or world.now_s - back_s >= 5.0, "a node that just returned"
+        planned = worlds.build_plan(world)
+        assert (
+            not planned.moves or world.now_s - back_s >= 5.0
+        ), "a move to a node that just returned"
         assert len(planned.moves) <= 8
         worlds.carry_out(world, planned)
         moves += planned.moves
@@ -114,25 +120,27 @@
 
 
 def check_cold() -> None:
-    """Guards against a cold target that is given its full share at once."""
+    """Guards against giving a cold target its full share at once instead of in a slow start."""
     world = worlds.build_world(load=1.0)
     worlds.run(world, 5.0)
     member = world.members[worlds.node(1)]
-    worlds.lose(world, 1)
+    worlds.remove_node(world, 1)
     worlds.run(world, 5.0)
     world.members[member.node] = member
-    worlds.change(world, 1, is_cold=True)
+    worlds.change_member(world, 1, is_cold=True)
     start_s = world.now_s
     for _ in range(40):
-        worlds.carry_out(world, worlds.plan(world))
+        worlds.carry_out(world, worlds.build_plan(world))
         warmth = (world.now_s - start_s) / worlds.SERVICE.warm_up_s
         load = worlds.find_loads(world)[member.node]
-        assert load <= 1.0 + (member.slots - 1.0) * warmth, "more than the slow start bears"
-    assert load > 0.5 * sum(world.loads.values()) / len(world.members), "slow start got no work"
+        assert load <= 1.0 + (member.slots - 1.0) * warmth, "more than the slow start allows"
+    assert load > 0.5 * sum(world.loads.values()) / len(
+        world.members
+    ), "no work for a target in slow start"
 
 
 def check_noise(level: float) -> None:
-    """Guards against churn in steady state."""
+    """Guards against moves that are caused only by noise in the reported loads."""
     world = worlds.build_world()
     rng = random.Random(2)
     exact = dict(world.loads)
@@ -140,24 +148,24 @@
         world.loads = {
             shard: load * rng.uniform(1 - level, 1 + level) for shard, load in exact.items()
         }
-        planned = worlds.plan(world)
+        planned = worlds.build_plan(world)
         assert planned == assignment.Plan(split=[], merge=[], moves=[])
         world.now_s += 0.5
 
 
-def heat(world: worlds.World, share: float) -> None:
-    world.loads[HOME] += share * sum(world.loads.values()) / len(world.members)
+def add_hot_key(world: worlds.World, share: float) -> None:
+    world.loads[PARENT] += share * sum(world.loads.values()) / len(world.members)
     world.hot_keys[KEY] = 0.9
 
 
 def check_hot_key() -> None:
-    """Guards against a hot key that overloads its target, and one that stays apart for ever."""
+    """Guards against a hot key that overloads its target, or is never merged after it cooled."""
     world = worlds.build_world()
     worlds.run(world, 5.0)
-    heat(world, 0.6)
+    add_hot_key(world, 0.6)
     for shard, owner in world.owners.items():
         world.loads[shard] *= 0.1 if owner == worlds.node(0) else 1.0
-    owner = world.owners[HOME]
+    owner = world.owners[PARENT]
     plans = worlds.run(world, 30.0)
     assert [key for planned in plans for key in planned.split] == [KEY]
     moves = worlds.list_moves(plans)
@@ -173,10 +181,10 @@
 
 
 def test_key_beyond_a_share_leaves_the_rest_even() -> None:
-    """Guards against endless moves when no assignment can be even."""
+    """Guards against endless moves when one key exceeds a fair share, so balance is impossible."""
     world = worlds.build_world()
     worlds.run(world, 5.0)
-    heat(world, 12.0)
+    add_hot_key(world, 12.0)
     worlds.run(world, 120.0)
     assert worlds.list_moves(worlds.run(world, 60.0)) == []
     loads = sorted(worlds.find_loads(world).values())
@@ -184,11 +192,11 @@
 
 
 def test_burst_splits_nothing() -> None:
-    """Guards against commits for a key that is hot for a second only."""
+    """Guards against a split, which costs a commit, for a key that is hot for only a second."""
     world = worlds.build_world()
     worlds.run(world, 5.0)
     before = dict(world.loads)
-    heat(world, 0.6)
+    add_hot_key(world, 0.6)
     plans = worlds.run(world, 1.0)
     world.loads, world.hot_keys = before, {}
     plans += worlds.run(world, 30.0)
@@ -196,9 +204,9 @@
 
 
 def check_named_key() -> None:
-    """Guards against a named key served in a zone that its rule excludes."""
+    """Guards against serving a named key in a zone that its assignment rule excludes."""
     world = worlds.build_world()
-    home = world.owners[HOME]
+    home = world.owners[PARENT]
     assert home is not None
     zones = [zone for zone in worlds.ZONES if zone != world.members[home].zone][:1]
     service = worlds.SERVICE.name
@@ -216,30 +224,30 @@
     assert KEY not in world.owners, "still apart without its Key object"
 
 
-def check_repeat() -> None:
-    """Guards against a shard that is granted to one node and promised to another."""
+def check_repeated_plan() -> None:
+    """Guards against planning another target for a move that may already be in progress."""
     world = worlds.build_world()
     worlds.run(world, 5.0)
-    worlds.change(world, 1, is_leaving=True)
-    first = worlds.plan(world)
+    worlds.change_member(world, 1, is_leaving=True)
+    first = worlds.build_plan(world)
     world.now_s += 0.5
     # A different load would suggest other targets.
     world.loads = {
         shard: load * (1 + number % 3) for number, (shard, load) in enumerate(world.loads.items())
     }
-    assert first.moves and worlds.plan(world).moves == first.moves
+    assert first.moves and worlds.build_plan(world).moves == first.moves
     gone = first.moves[0].target
     del world.members[gone]
-    second = worlds.plan(world)
+    second = worlds.build_plan(world)
     assert gone not in {move.target for move in second.moves}
     kept = {move.shard: move.target for move in second.moves}
     assert all(kept[m.shard] == m.target for m in first.moves if m.target != gone)
 
 
 def check_slots() -> None:
-    """Guards against equal load for targets of different size."""
+    """Guards against giving targets with different numbers of slots the same load."""
     world = worlds.build_world(nodes=3)
-    worlds.change(world, 0, slots=20)
+    worlds.change_member(world, 0, slots=20)
     world.owners = dict.fromkeys(world.owners, None)
     worlds.run(world, 1.0)
     loads = worlds.find_loads(world)
@@ -247,18 +255,18 @@
 
 
 def check_zones() -> None:
-    """Guards against a loss of one zone that takes most of the load."""
+    """Guards against placing most of the load in one zone, whose loss would then affect it all."""
     world = worlds.build_world(nodes=4)
-    worlds.change(world, 1, zone="a")
-    worlds.change(world, 3, zone="c")
+    worlds.change_member(world, 1, zone="a")
+    worlds.change_member(world, 3, zone="c")
     world.owners = dict.fromkeys(list(world.owners)[:2])
     worlds.run(world, 0.5)
     zones = {world.members[owner].zone for owner in world.owners.values() if owner is not None}
     assert zones == {"a", "c"}, "two shards in one zone while another is empty"
 
 
-def check_hopeless() -> None:
-    """Guards against a key without a possible owner that stops the rebalance of its service."""
+def check_unownable_key() -> None:
+    """Guards against a key that no node may own and that stops the rebalancing of its service."""
     world = worlds.build_world()
     zone = identity.ZoneId("nowhere")
     service = worlds.SERVICE.name
@@ -275,21 +283,21 @@
 
 
 def test_idle_service_balances_by_number() -> None:
-    """Guards against all shards on one node while nothing is known of their load."""
+    """Guards against assigning all shards to one node while their loads are reported as zero."""
     world = worlds.build_world(load=0.0)
     world.owners = dict.fromkeys(world.owners, None)
     worlds.run(world, 0.5)
     assert set(collections.Counter(world.owners.values()).values()) == {10}
 
 
-def answer(value: object) -> collections.abc.Callable[..., object]:
+def return_always(value: object) -> collections.abc.Callable[..., object]:
     return lambda *_: value
 
 
 Check = collections.abc.Callable[[], None]
-ALONE: list[Check] = [check_cold, check_hot_key, check_named_key, check_repeat]
-ALONE += [check_slots, check_zones, check_hopeless]
-CHECKS: dict[str, Check] = {check.__name__: check for check in ALONE}
+SINGLE_CHECKS: list[Check] = [check_cold, check_hot_key, check_named_key, check_repeated_plan]
+SINGLE_CHECKS += [check_slots, check_zones, check_unownable_key]
+CHECKS: dict[str, Check] = {check.__name__: check for check in SINGLE_CHECKS}
 CHECKS |= {f"fault-{name}": functools.partial(check_fault, name) for name in FAULTS}
 CHECKS |= {f"return-{noise}": functools.partial(check_return, noise) for noise in (0.0, 0.2)}
 CHECKS |= {f"noise-{level}": functools.partial(check_noise, level) for level in (0.1, 0.3, 0.5)}
@@ -297,31 +305,36 @@
 
 @pytest.mark.parametrize("name", CHECKS)
 def test_rule_is_kept(name: str) -> None:
-    """Guards against the failure that the check names."""
+    """Guards against the failure that the docstring of each check describes."""
     CHECKS[name]()
 
 
-QUICK = {"SLOW_S": 0.01, "FAST_S": 0.01, "is_recent": answer(False)}
-# Each row breaks one rule of placement; the check must notice.
+WITHOUT_SMOOTHING = {
+    "SLOW_EWMA_S": 0.01,
+    "FAST_EWMA_S": 0.01,
+    "is_imbalance_recent": return_always(False),
+}
+# Each row replaces attributes of placement so that one rule is broken, and names the check that
+# must fail.
 BROKEN: list[tuple[dict[str, object], str]] = [
-    ({"is_eligible": answer(True)}, "fault-zone-drained"),
-    ({"is_allowed": answer(True)}, "fault-rule-changed"),
-    ({"DRAIN_MOVES": 1000}, "fault-leaving"),
-    ({"rate": answer(0.0)}, "fault-lost"),
-    ({"RETURN_S": 0.0, "LARGE_GAP_S": 0.0}, "return-0.0"),
-    ({"STEP_MOVES": 1000}, "return-0.0"),
+    ({"is_eligible": return_always(True)}, "fault-zone-drained"),
+    ({"is_allowed": return_always(True)}, "fault-rule-changed"),
+    ({"DRAIN_MOVES_PER_ROUND": 1000}, "fault-leaving"),
+    ({"score_node": return_always(0.0)}, "fault-lost"),
+    ({"MIN_ELIGIBLE_S": 0.0, "LARGE_GAP_S": 0.0}, "return-0.0"),
+    ({"MOVES_PER_ROUND": 1000}, "return-0.0"),
     ({"START_GAP": 2.0, "FILL_GAP": 2.0}, "return-0.0"),
-    ({"note_losses": answer(None)}, "return-0.0"),
-    ({"find_capacity": answer(10.0)}, "check_cold"),
-    (QUICK, "noise-0.5"),
+    ({"record_losses": return_always(None)}, "return-0.0"),
+    ({"find_capacity": return_always(10.0)}, "check_cold"),
+    (WITHOUT_SMOOTHING, "noise-0.5"),
     ({"SPLIT_SHARE": 5.0}, "check_hot_key"),
-    ({"MERGE_S": 0.0}, "check_hot_key"),
+    ({"MERGE_AFTER_S": 0.0}, "check_hot_key"),
     ({"MERGE_SHARE": 0.0}, "check_hot_key"),
-    ({"is_allowed": answer(True)}, "check_named_key"),
-    ({"keep_pending": answer(None)}, "check_repeat"),
+    ({"is_allowed": return_always(True)}, "check_named_key"),
+    ({"repeat_pending": return_always(None)}, "check_repeated_plan"),
     ({"ZONE_WEIGHT": 0.0}, "check_zones"),
-    ({"find_capacity": answer(10.0)}, "check_slots"),
-    ({"plan_forced": answer(True)}, "check_hopeless"),
+    ({"find_capacity": return_always(10.0)}, "check_slots"),
+    ({"plan_forced": return_always(True)}, "check_unownable_key"),
 ]
 
 
@@ -329,7 +342,7 @@
 def test_check_notices_broken_rule(
     monkeypatch: pytest.MonkeyPatch, changes: dict[str, object], name: str
 ) -> None:
-    """Guards against checks that pass whatever placement does."""
+    """Guards against checks that pass regardless of what placement does."""
     for attribute, value in changes.items():
         monkeypatch.setattr(placement, attribute, value)
     with pytest.raises(AssertionError):
@@ -337,7 +350,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reason", "source", "words"),
+    ("reason", "source", "cause"),
     [
         (Reason.ORPHANED, None, "it has no owner"),
         (Reason.ORPHANED, worlds.node(9), "n9 is no longer a member"),
@@ -348,11 +361,11 @@
     ],
 )
 def test_explanation_names_the_cause(
-    reason: Reason, source: identity.NodeId | None, words: str
+    reason: Reason, source: identity.NodeId | None, cause: str
 ) -> None:
-    """Guards against log lines that leave an operator guessing."""
+    """Guards against log lines that do not state why a shard moves."""
     move = assignment.Move(
         shard=worlds.shard(1), source=source, target=worlds.node(2), reason=reason
     )
-    sentence = placement.explain(move, worlds.view(worlds.build_world()))
-    assert sentence.startswith("partition stock/1 ") and words in sentence
+    sentence = placement.explain(move, worlds.build_view(worlds.build_world()))
+    assert sentence.startswith("partition stock/1 ") and cause in sentence
--- a/tests/version/test_placement_properties.py
+++ b/tests/version/test_placement_properties.py
@@ -1,4 +1,4 @@
-"""Properties of placement over random cells, and variants that break each of them."""
+"""Property tests of placement over random cells, and broken variants that each must catch."""
 
 import collections.abc
 import copy
@@ -20,7 +20,7 @@
     nodes = draw(strategies.integers(1, 7))
     world = worlds.build_world(nodes)
     for number in range(nodes):
-        worlds.change(
+        worlds.change_member(
             world,
             number,
             slots=draw(strategies.integers(1, 20)),
@@ -43,7 +43,7 @@
     return world
 
 
-def check_plans(world: worlds.World, plan: Plan) -> None:
+def check_moves(world: worlds.World, plan: Plan) -> None:
     for _ in range(20):
         planned = plan(world)
         shards = [move.shard for move in planned.moves]
@@ -54,17 +54,19 @@
 
 
 def check_loss(world: worlds.World, plan: Plan) -> None:
-    hypothesis.assume(check_end(world, plan) and world.members)
-    lost = min(world.members)
-    owned = {shard for shard, owner in world.owners.items() if owner == lost}
-    worlds.lose(world, int(lost[1:]))
+    hypothesis.assume(check_convergence(world, plan) and world.members)
+    lost_node = min(world.members)
+    owned = {shard for shard, owner in world.owners.items() if owner == lost_node}
+    worlds.remove_node(world, int(lost_node[1:]))
     moved = [move.shard for move in plan(world).moves]
-    left = [node for node in world.members if worlds.may_own(world, node, worlds.shard(0))]
+    eligible_nodes = [
+        node for node in world.members if worlds.may_own(world, node, worlds.shard(0))
+    ]
     unowned = {shard for shard, owner in world.owners.items() if owner not in world.members}
-    assert set(moved) == (unowned if left else set()) and set(moved) <= owned | unowned
+    assert set(moved) == (unowned if eligible_nodes else set()) and set(moved) <= owned | unowned
 
 
-def check_same(world: worlds.World, plan: Plan) -> None:
+def check_determinism(world: worlds.World, plan: Plan) -> None:
     shuffled = copy.deepcopy(world)
     shuffled.owners = dict(reversed(shuffled.owners.items()))
     shuffled.members = dict(reversed(shuffled.members.items()))
@@ -75,18 +77,20 @@
         worlds.carry_out(shuffled, planned, 1.0)
 
 
-def check_end(world: worlds.World, plan: Plan) -> bool:
-    quiet = 0
+def check_convergence(world: worlds.World, plan: Plan) -> bool:
+    rounds_without_moves = 0
     for _ in range(400):
         planned = plan(world)
-        quiet = 0 if planned.moves or planned.split or planned.merge else quiet + 1
-        if quiet > 40:
+        rounds_without_moves = (
+            0 if planned.moves or planned.split or planned.merge else rounds_without_moves + 1
+        )
+        if rounds_without_moves > 40:
             return True
         worlds.carry_out(world, planned, 1.0)
     raise AssertionError("still moving after 400 s of constant load")
 
 
-CHECKS = [check_plans, check_loss, check_same, check_end]
+CHECKS = [check_moves, check_loss, check_determinism, check_convergence]
 Check = collections.abc.Callable[[worlds.World, Plan], object]
 
 
@@ -108,18 +112,18 @@
 
 @pytest.mark.parametrize("check", CHECKS)
 def test_property_holds(check: Check) -> None:
-    """Guards against rare combinations that the fault tables do not list."""
-    run_check(check, worlds.plan, 40)
+    """Guards against failures in combinations of faults that the other tests do not list."""
+    run_check(check, worlds.build_plan, 40)
 
 
 Moves = list[assignment.Move]
 
 
-def alter(edit: collections.abc.Callable[[worlds.World, Moves], Moves]) -> Plan:
-    """Return placement with its moves edited."""
+def edit_moves(edit: collections.abc.Callable[[worlds.World, Moves], Moves]) -> Plan:
+    """Return a variant of placement whose moves are replaced by ``edit``."""
 
     def plan(world: worlds.World) -> assignment.Plan:
-        planned = worlds.plan(world)
+        planned = worlds.build_plan(world)
         return dataclasses.replace(planned, moves=edit(world, planned.moves))
 
     return plan
@@ -150,26 +154,26 @@
 @pytest.mark.parametrize(
     ("check", "edit"),
     [
-        (check_plans, lambda world, moves: redirect(moves, max(world.members))),
-        (check_plans, lambda world, moves: moves + moves[:1]),
+        (check_moves, lambda world, moves: redirect(moves, max(world.members))),
+        (check_moves, lambda world, moves: moves + moves[:1]),
         (check_loss, add_healthy),
-        (check_same, lambda world, moves: redirect(moves, next(iter(world.members)))),
-        (check_end, move_back_and_forth),
+        (check_determinism, lambda world, moves: redirect(moves, next(iter(world.members)))),
+        (check_convergence, move_back_and_forth),
     ],
 )
 def test_broken_variant_is_noticed(
     check: Check, edit: collections.abc.Callable[[worlds.World, Moves], Moves]
 ) -> None:
-    """Guards against properties that hold whatever placement does."""
+    """Guards against property checks that pass regardless of what placement does."""
     with pytest.raises(AssertionError):
-        run_check(check, alter(edit), 40)
+        run_check(check, edit_moves(edit), 40)
 
 
 def test_unknown_services_are_left_alone() -> None:
-    """Guards against an exception for shards of a service that the configuration dropped."""
+    """Guards against an exception for shards of a service that is no longer configured."""
     world = worlds.build_world()
     world.owners[identity.ShardId("gone/1")] = worlds.node(1)
     world.hot_keys[identity.ShardId("gone/key:x")] = 0.5
     snapshot = route.build_snapshot(identity.ConfigVersion(1), world.entries)
-    planned = placement.build_place(snapshot, world.state)(worlds.view(world))
+    planned = placement.build_place(snapshot, world.state)(worlds.build_view(world))
     assert planned == assignment.Plan(split=[], merge=[], moves=[])
--- a/tests/version/worlds.py
+++ b/tests/version/worlds.py
@@ -1,4 +1,4 @@
-"""A small cell for the tests of placement."""
+"""A simulated cell with one service for the tests of placement."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class World:
-    """Members, owners, loads and configuration, as a test changes them."""
+    """Members, owners, loads and configuration of the cell, which a test modifies."""
 
     members: dict[identity.NodeId, message.Member]
     owners: dict[identity.ShardId, identity.NodeId | None]
@@ -33,7 +33,7 @@
 
 
 def build_world(nodes: int = 6, load: float = 0.6) -> World:
-    """Return a balanced world: partition n belongs to node n modulo ``nodes``."""
+    """Return a balanced cell, in which partition n belongs to node n modulo ``nodes``."""
     members = {
         node(number): message.Member(
             node=node(number),
@@ -55,18 +55,18 @@
     )
 
 
-def change(world: World, number: int, **fields: object) -> None:
+def change_member(world: World, number: int, **fields: object) -> None:
     world.members[node(number)] = msgspec.structs.replace(world.members[node(number)], **fields)
 
 
-def lose(world: World, number: int) -> None:
+def remove_node(world: World, number: int) -> None:
     del world.members[node(number)]
     for name, owner in world.owners.items():
         if owner == node(number):
             world.owners[name] = None
 
 
-def view(world: World) -> assignment.PlacementView:
+def build_view(world: World) -> assignment.PlacementView:
     return assignment.PlacementView(
         members=dict(world.members),
         owners=dict(world.owners),
@@ -76,9 +76,9 @@
     )
 
 
-def plan(world: World) -> assignment.Plan:
+def build_plan(world: World) -> assignment.Plan:
     snapshot = route.build_snapshot(identity.ConfigVersion(1), world.entries)
-    return placement.build_place(snapshot, world.state)(view(world))
+    return placement.build_place(snapshot, world.state)(build_view(world))
 
 
 def carry_out(world: World, planned: assignment.Plan, elapsed_s: float = 0.5) -> None:
@@ -101,10 +101,10 @@
 
 
 def run(world: World, seconds: float) -> list[assignment.Plan]:
-    """Plan and carry out for some time; return the plans."""
+    """Plan and carry out the plans every 0.5 s of simulated time; return the plans."""
     plans = []
     for _ in range(round(seconds / 0.5)):
-        plans.append(plan(world))
+        plans.append(build_plan(world))
         carry_out(world, plans[-1])
     return plans
 
@@ -122,17 +122,19 @@
 
 
 def may_own(world: World, owner: identity.NodeId, name: identity.ShardId) -> bool:
-    """Say whether the objects allow an owner; written apart from the code under test."""
+    """Return whether the configuration allows an owner, independently of the code under test."""
     member = world.members.get(owner)
     if member is None or not member.is_target_up or member.is_leaving:
         return False
     if member.service != identity.split_shard(name)[0]:
         return False
     key = identity.split_shard(name)[2]
-    named = [e.name for e in world.entries if isinstance(e, objects.Key) and e.key == key]
+    key_names = [
+        entry.name for entry in world.entries if isinstance(entry, objects.Key) and entry.key == key
+    ]
     rules = [entry for entry in world.entries if isinstance(entry, objects.AssignmentRule)]
-    own = [rule for rule in rules if set(rule.keys) & set(named)]
-    for rule in own or [rule for rule in rules if not rule.keys]:
+    key_rules = [rule for rule in rules if set(rule.keys) & set(key_names)]
+    for rule in key_rules or [rule for rule in rules if not rule.keys]:
         if member.zone not in rule.zones:
             return False
     drains = [entry for entry in world.entries if isinstance(entry, objects.DrainOrder)]
