--- a/src/ebonyvalve/version/traffic.py
+++ b/src/ebonyvalve/version/traffic.py
@@ -1,4 +1,4 @@
-"""Routes, services and limits of one accepted configuration, indexed for use on every request."""
+"""The accepted routing configuration: its index, its validation and the differences of versions."""
 
 import collections.abc
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class Repeatability(enum.Enum):
-    """How often a request may run."""
+    """Whether a request may be sent again after it may have run."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at-most-once"
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Share:
-    """A service of a route with its part of the route's requests."""
+    """A service of a route and its weight in the distribution of the route's requests."""
 
     service: identity.ServiceId
     weight: float
@@ -25,10 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Where requests of one host and path prefix go.
+    """How requests for one host and path prefix are forwarded.
 
-    ``timeout_s`` bounds the whole request, ``objective_s`` is the latency objective, ``attempts``
-    the most targets one request may be sent to. ``priority`` 0 is the most urgent.
+    ``timeout_s`` is the time limit of the whole request, ``objective_s`` the latency objective, and
+    ``attempts`` the maximum number of targets that a request is sent to. ``priority`` 0 is the
+    highest.
     """
 
     name: str
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """What callers may send, and how long they may take, in bytes and seconds."""
+    """Limits on requests and connections of callers: sizes in bytes, times in seconds."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 67_108_864
@@ -54,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TrafficConfig:
-    """One accepted configuration. It is replaced as a whole, never changed."""
+    """One accepted configuration. A new version replaces the object; it is never modified."""
 
     version: identity.ConfigVersion
     routes: tuple[Route, ...]
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class CurrentTraffic:
-    """The configuration in force, or ``None`` before the first one."""
+    """Holds the configuration in force; ``None`` until the first one has been accepted."""
 
     traffic: TrafficConfig | None = None
 
@@ -77,7 +78,7 @@
     services: collections.abc.Iterable[policy.ServicePolicy],
     limits: Limits,
 ) -> TrafficConfig:
-    """Index a configuration.
+    """Build a configuration with its index of routes by host and prefix.
 
     :param version: its version.
     :param routes: its routes.
@@ -98,11 +99,11 @@
 
 
 def find_route(traffic: TrafficConfig, host: str, target: str) -> Route | None:
-    """Return the route with the longest prefix of a path, in time linear in the path's depth.
+    """Return the route with the longest matching prefix; the time is linear in the path's depth.
 
     :param traffic: the configuration.
     :param host: the host without its port.
-    :param target: the path, perhaps with a query.
+    :param target: the request target: the path, optionally with a query.
     """
     prefixes = traffic.by_host.get(host)
     if prefixes is None:
@@ -118,52 +119,54 @@
 
 
 def find_matching_route(traffic: TrafficConfig, route: Route) -> Route | None:
-    """Return the route that has the same host and prefix as one of another configuration.
+    """Return the route of a configuration that has the same host and prefix as another route.
 
-    :param traffic: the configuration to look in.
-    :param route: the other configuration's route.
+    :param traffic: the configuration to search.
+    :param route: a route of another configuration.
     """
     return traffic.by_host.get(route.host, {}).get(route.prefix)
 
 
 def pick_service(route: Route, draw: float) -> identity.ServiceId:
-    """Return the service of one request, by the weights of the route.
+    """Choose the service for one request at random, by the weights of the route.
 
     :param route: the route.
     :param draw: a random number from 0 up to but not including 1.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
-    left = draw * sum(share.weight for share in route.shares)
+    remaining = draw * sum(share.weight for share in route.shares)
     for share in route.shares:
-        left -= share.weight
-        if left < 0:
+        remaining -= share.weight
+        if remaining < 0:
             return share.service
     return route.shares[-1].service
 
 
 def check(traffic: TrafficConfig) -> list[str]:
-    """Return every reason for which a configuration can't be applied.
+    """Return every reason why a configuration can't be applied; empty when it is valid.
 
     :param traffic: the configuration.
     """
-    found: list[str] = []
-    seen: dict[tuple[str, str], str] = {}
+    reasons: list[str] = []
+    names_by_location: dict[tuple[str, str], str] = {}
     for route in traffic.routes:
-        found.extend(f'route "{route.name}": {text}' for text in _check_route(traffic, route))
-        place = (route.host, route.prefix)
-        if place in seen:
-            found.append(
-                f'route "{route.name}": can never match, because route "{seen[place]}" has the '
-                f"same host and prefix"
+        reasons.extend(f'route "{route.name}": {text}' for text in _check_route(traffic, route))
+        location = (route.host, route.prefix)
+        if location in names_by_location:
+            reasons.append(
+                f'route "{route.name}": can never match, because route '
+                f'"{names_by_location[location]}" has the same host and prefix'
             )
-        seen.setdefault(place, route.name)
+        names_by_location.setdefault(location, route.name)
     for service in traffic.services.values():
         if service.max_connections < 1:
-            found.append(f'service "{service.name}": max_connections must be at least 1')
+            reasons.append(f'service "{service.name}": max_connections must be at least 1')
         if service.cold_s < 0 or service.cold_rate < 0 or service.warm_up_s < 0:
-            found.append(f'service "{service.name}": cold and warm-up figures must not be negative')
-    return found
+            reasons.append(
+                f'service "{service.name}": cold and warm-up figures must not be negative'
+            )
+    return reasons
 
 
 def _check_route(traffic: TrafficConfig, route: Route) -> collections.abc.Iterator[str]:
@@ -183,10 +186,10 @@
 
 
 def list_changes(before: TrafficConfig, after: TrafficConfig) -> list[str]:
-    """Return what callers and targets would notice of a new configuration, a line each.
+    """Return the changes that callers and targets would notice, one line for each.
 
     :param before: the configuration in force.
-    :param after: the one that would replace it.
+    :param after: the configuration that would replace it.
     """
     lines = [
         f"{route.host}{route.prefix}: its callers would be told 404; route {route.name!r} goes"
@@ -194,15 +197,15 @@
         if find_matching_route(after, route) is None
     ]
     for route in after.routes:
-        place = f"{route.host}{route.prefix}"
-        known = find_matching_route(before, route)
-        if known is None:
-            lines.append(f"{place}: new, to {_describe_shares(route)}")
+        location = f"{route.host}{route.prefix}"
+        old_route = find_matching_route(before, route)
+        if old_route is None:
+            lines.append(f"{location}: new, to {_describe_shares(route)}")
             continue
-        lines.extend(f"{place}: {text}" for text in _list_route_changes(known, route))
+        lines.extend(f"{location}: {text}" for text in _list_route_changes(old_route, route))
     for name, service in after.services.items():
-        was = before.services.get(name)
-        if was is not None and was.is_keyed != service.is_keyed:
+        old_service = before.services.get(name)
+        if old_service is not None and old_service.is_keyed != service.is_keyed:
             kind = "by key" if service.is_keyed else "without keys"
             lines.append(f"service {name}: would be served {kind} from now on")
     return lines
@@ -222,17 +225,17 @@
 
 
 def compute_fractions(route: Route) -> dict[identity.ServiceId, float]:
-    """Return the part of a route's requests that each service gets, from 0 to 1.
+    """Return the fraction of a route's requests that each service receives, from 0 to 1.
 
     :param route: the route.
     """
     total = sum(share.weight for share in route.shares)
-    parts: dict[identity.ServiceId, float] = {}
+    fractions: dict[identity.ServiceId, float] = {}
     for share in route.shares:
-        parts[share.service] = parts.get(share.service, 0.0) + share.weight / total
-    return parts
+        fractions[share.service] = fractions.get(share.service, 0.0) + share.weight / total
+    return fractions
 
 
 def _describe_shares(route: Route) -> str:
-    parts = compute_fractions(route)
-    return ", ".join(f"{service} {100 * part:.0f}%" for service, part in parts.items())
+    fractions = compute_fractions(route)
+    return ", ".join(f"{service} {100 * fraction:.0f}%" for service, fraction in fractions.items())
--- a/tests/version/test_traffic.py
+++ b/tests/version/test_traffic.py
@@ -1,4 +1,4 @@
-"""Routes of a configuration: lookup, shares, and what is refused as a whole."""
+"""Tests of the routing configuration: route lookup, weighted services and refusals."""
 
 import collections
 import random
@@ -22,7 +22,7 @@
 
 
 def test_longest_prefix_wins() -> None:
-    """Every prefix ends with a slash, so that whole path segments match."""
+    """Guards against a route that matches part of a path segment, or a shorter prefix that wins."""
     accepted = edit(0, prefix="/orders/urgent/")
     assert isinstance(accepted, traffic.TrafficConfig)
 
@@ -38,7 +38,7 @@
 
 
 def test_shares_follow_their_weights() -> None:
-    """A split sends its parts what their weights say."""
+    """Guards against a distribution of requests that differs from the configured weights."""
     parts = [{"backend": "lookup", "weight": 90}, {"backend": "orders", "weight": 10}]
     accepted = edit(0, split=parts)
     assert isinstance(accepted, traffic.TrafficConfig)
@@ -63,12 +63,12 @@
     ],
 )
 def test_refusals_name_the_object_and_the_cause(changes: dict[str, object], reason: str) -> None:
-    """The whole set is refused, in plain words."""
+    """Guards against accepting an invalid route, or refusing it without its name and the cause."""
     refused = edit(0, **changes)
     assert isinstance(refused, list)
     assert any(reason in text and "route" in text for text in refused), refused
 
 
 def test_cut_document_is_refused() -> None:
-    """A document that breaks off must not be applied in part."""
+    """Guards against applying part of a truncated document."""
     assert isinstance(configuration.decode(mesh_module.build_config(3)[:-20]), list)
