--- a/src/ebonyvalve/version/__init__.py
+++ b/src/ebonyvalve/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one accepted configuration."""
+"""State and functions that belong to one accepted version of the configuration."""
--- a/src/ebonyvalve/version/check.py
+++ b/src/ebonyvalve/version/check.py
@@ -1,4 +1,4 @@
-"""Checks a whole set of objects and reports every reason against it at once."""
+"""Checks a complete set of objects and reports all refusals and warnings at once."""
 
 import collections
 import collections.abc
@@ -8,17 +8,18 @@
 from ebonyvalve.process import identity
 from ebonyvalve.version import finding, objects, route
 
-# A hop crosses zones twice at up to 1.5 ms and may need a new connection of 1 ms; one more
-# millisecond is for parsing at both nodes.
+# A hop crosses a zone boundary twice at up to 1.5 ms each and may need a new connection, which
+# takes 1 ms; one more millisecond is for parsing at both nodes.
 MIN_DEADLINE_MS = 5
-# The platform allows no more connections to one target.
+# The platform's limit on connections to one target.
 MAX_CONNECTIONS = 130
 # The concurrency limit of a target may rise to this multiple of its slots.
 MAX_LIMIT_PER_SLOT = 1.5
-# A node is given up after its lease of 450 ms; about 50 ms pass until its shards are granted anew.
+# The shards of a lost node are free when its lease of 450 ms has expired; about 50 ms later they
+# are granted to other nodes.
 RECOVERY_MS = 500
 MAX_RECOVERY_MS = 1000
-# A drained zone receives no new work after this time; shorter orders cannot be met.
+# A drained zone receives no new work after this time, so a shorter limit cannot be met.
 MIN_DRAIN_S = 3.0
 # The idempotent methods of RFC 9110.
 IDEMPOTENT_METHODS = {"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"}
@@ -30,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Target:
-    """A target that is in service, or is expected to be."""
+    """A target that is in service, or that a zone is expected to have."""
 
     node: identity.NodeId
     zone: identity.ZoneId
@@ -39,12 +40,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Scene:
-    """The set under check. Services whose targets are not known are missing in ``targets``."""
+class _Context:
+    """The objects to check and their targets.
+
+    ``targets`` has no entry for a service whose targets are not known. ``has_live_targets`` says
+    whether targets were announced by nodes, instead of only stated by the zones.
+    """
 
     snapshot: route.Snapshot
     targets: dict[identity.ServiceId, list[Target]]
-    is_announced: bool
+    has_live_targets: bool
 
 
 def check_objects(
@@ -53,26 +58,26 @@
     """Return every refusal and warning for a set of objects.
 
     :param entries: the whole set.
-    :param targets: the targets in service; without them the numbers stated by the zones count.
+    :param targets: the targets in service; without them, those that the zones state are used.
     """
     snapshot = route.build_snapshot(identity.ConfigVersion(0), entries.objects)
-    scene = _Scene(
+    context = _Context(
         snapshot=snapshot,
         targets=_group_targets(snapshot, targets),
-        is_announced=targets is not None,
+        has_live_targets=targets is not None,
     )
     found = itertools.chain(
-        _check_presence(scene),
-        _check_references(scene),
-        _check_inheritance(scene),
+        _check_not_empty(context),
+        _check_references(context),
+        _check_inheritance(context),
         *(_check_limits(service) for service in snapshot.services.values()),
         *(_check_recovery(service) for service in snapshot.services.values()),
-        _check_targets(scene),
-        _check_keys(scene),
-        _check_rule_pairs(scene),
-        *(_check_rule(scene, rule) for rule in snapshot.rules.values()),
-        *(_check_drain(scene, drain) for drain in snapshot.drains.values()),
-        _check_stranding(scene),
+        _check_targets(context),
+        _check_keys(context),
+        _check_rule_pairs(context),
+        *(_check_rule(context, rule) for rule in snapshot.rules.values()),
+        *(_check_drain(context, drain) for drain in snapshot.drains.values()),
+        _check_stranding(context),
     )
     return sorted(found, key=lambda entry: entry.severity is finding.Severity.WARNING)
 
@@ -82,11 +87,11 @@
     after: objects.ObjectSet,
     targets: collections.abc.Iterable[Target] | None = None,
 ) -> list[finding.Finding]:
-    """Return what speaks against replacing one set by the other.
+    """Return every refusal and warning for the replacement of one set by another.
 
     :param before: the set in force.
-    :param after: the set that shall replace it.
-    :param targets: the targets in service, where known.
+    :param after: the set to replace it.
+    :param targets: the targets in service, if known.
     """
     old = route.build_snapshot(identity.ConfigVersion(0), before.objects)
     new = route.build_snapshot(identity.ConfigVersion(0), after.objects)
@@ -100,7 +105,7 @@
 
 
 def list_stated_targets(entries: objects.ObjectSet) -> list[Target]:
-    """Return the targets that the zones state, with made-up node names.
+    """Return the targets that the zones state, with generated node names.
 
     :param entries: the whole set.
     """
@@ -122,10 +127,10 @@
 def remove_drained(
     targets: collections.abc.Iterable[Target], drains: collections.abc.Iterable[objects.DrainOrder]
 ) -> list[Target]:
-    """Return the targets that the drains leave in service.
+    """Return the targets that remain in service under a set of drain orders.
 
     :param targets: the targets.
-    :param drains: the drain orders in force together.
+    :param drains: the drain orders that are in force together.
     """
     orders = list(drains)
     zones = {order.zone for order in orders}
@@ -136,21 +141,21 @@
 def list_owner_zones(
     snapshot: route.Snapshot, service: identity.ServiceId
 ) -> tuple[Zones, dict[str, Zones]]:
-    """Return the zones that may own the keys of a service, and those of each key with a rule.
+    """Return the zones that may own a service's keys, and the zones of each key with its own rule.
 
     :param snapshot: the objects.
     :param service: the service.
     """
-    general = frozenset(snapshot.zones)
+    service_zones = frozenset(snapshot.zones)
     rules = [rule for rule in snapshot.rules.values() if rule.service == service]
     for rule in rules:
         if not rule.keys:
-            general &= frozenset(rule.zones)
-    single: dict[str, Zones] = {}
+            service_zones &= frozenset(rule.zones)
+    key_zones: dict[str, Zones] = {}
     for rule in rules:
         for name in rule.keys:
-            single[name] = single.get(name, general) & frozenset(rule.zones)
-    return general, single
+            key_zones[name] = key_zones.get(name, service_zones) & frozenset(rule.zones)
+    return service_zones, key_zones
 
 
 def _group_targets(
@@ -160,11 +165,11 @@
     for entry in announced or ():
         if entry.service in snapshot.services and entry.zone in snapshot.zones:
             grouped[entry.service].append(entry)
-    # A service that is new has not announced a target yet; what the zones state counts then.
-    seen = set(grouped)
+    # No target of a new service has been announced yet; the targets that the zones state are used.
+    announced_services = set(grouped)
     stated = list_stated_targets(objects.ObjectSet(objects=_list_entries(snapshot)))
     for entry in stated:
-        if entry.service not in seen:
+        if entry.service not in announced_services:
             grouped[entry.service].append(entry)
     return dict(grouped)
 
@@ -189,19 +194,19 @@
     return ", ".join(sorted(names)) or "none"
 
 
-def _check_presence(scene: _Scene) -> Findings:
-    if not scene.snapshot.services:
+def _check_not_empty(context: _Context) -> Findings:
+    if not context.snapshot.services:
         yield finding.refuse(
             finding.Code.EMPTY, "there is no Service; every request would be refused"
         )
-    if not scene.snapshot.zones:
+    if not context.snapshot.zones:
         yield finding.refuse(
             finding.Code.EMPTY, "there is no AvailabilityZone; no target could own a key"
         )
 
 
-def _check_references(scene: _Scene) -> Findings:
-    snapshot = scene.snapshot
+def _check_references(context: _Context) -> Findings:
+    snapshot = context.snapshot
     known: dict[str, set[str]] = {
         "Service": set(snapshot.services),
         "AvailabilityZone": set(snapshot.zones),
@@ -235,15 +240,15 @@
             yield drain, "zone", "AvailabilityZone", drain.zone
 
 
-def _check_inheritance(scene: _Scene) -> Findings:
-    services = scene.snapshot.services
+def _check_inheritance(context: _Context) -> Findings:
+    services = context.snapshot.services
     for service in services.values():
         chain = [service.name]
         like = service.like
         while like in services and like not in chain:
             chain.append(like)
             like = services[like].like
-        # Each member of the circle finds it; only the first by name reports it.
+        # Every service of a cycle finds it; only the first one by name reports it.
         if like == service.name and service.name == min(chain):
             path = " -> ".join([*chain, service.name])
             yield _refuse(
@@ -305,13 +310,13 @@
         yield _warn(finding.Code.SLOW_RECOVERY, service, "deadline_ms", cause)
 
 
-def _check_targets(scene: _Scene) -> Findings:
-    snapshot = scene.snapshot
+def _check_targets(context: _Context) -> Findings:
+    snapshot = context.snapshot
     states_any = any(zone.targets for zone in snapshot.zones.values())
     for service in snapshot.services.values():
-        targets = scene.targets.get(service.name, [])
+        targets = context.targets.get(service.name, [])
         if not targets:
-            if states_any or scene.is_announced:
+            if states_any or context.has_live_targets:
                 cause = "no zone has a target of this service; every request to it would be refused"
                 yield _refuse(finding.Code.UNREACHABLE, service, "name", cause)
             continue
@@ -326,30 +331,30 @@
             )
             yield _warn(finding.Code.UNUSUAL, service, "partitions", cause)
     drained = {drain.zone for drain in snapshot.drains.values()}
-    occupied = {entry.zone for targets in scene.targets.values() for entry in targets}
+    occupied = {entry.zone for targets in context.targets.values() for entry in targets}
     for zone in snapshot.zones.values():
         if occupied and zone.name not in occupied | drained:
             cause = "no target is in this zone, so it can take over nothing"
             yield _warn(finding.Code.UNUSUAL, zone, "targets", cause)
-    if not scene.is_announced:
+    if not context.has_live_targets:
         return
     for zone in snapshot.zones.values():
         for name, count in zone.targets.items():
-            present = sum(entry.zone == zone.name for entry in scene.targets.get(name, []))
+            present = sum(entry.zone == zone.name for entry in context.targets.get(name, []))
             if present != count:
                 cause = f"{count} targets of {name} are expected here, {present} are in service"
                 yield _warn(finding.Code.UNUSUAL, zone, f"targets.{name}", cause)
 
 
-def _check_keys(scene: _Scene) -> Findings:
-    snapshot = scene.snapshot
-    first: dict[tuple[str, str], objects.Key] = {}
+def _check_keys(context: _Context) -> Findings:
+    snapshot = context.snapshot
+    first_by_key: dict[tuple[str, str], objects.Key] = {}
     for key in snapshot.keys.values():
         service = snapshot.services.get(key.service)
         if service is not None and not service.is_keyed:
             cause = f"{key.service} is a service without keys, so this object is never used"
             yield _refuse(finding.Code.UNREACHABLE, key, "service", cause)
-        other = first.setdefault((key.service, key.key), key)
+        other = first_by_key.setdefault((key.service, key.key), key)
         if other is not key:
             cause = (
                 f"Key {other.name} names the same key {key.key!r} of {key.service}; each would "
@@ -358,76 +363,80 @@
             yield _refuse(finding.Code.TWO_OWNERS, key, "key", cause)
 
 
-def _check_rule_pairs(scene: _Scene) -> Findings:
-    rules = sorted(scene.snapshot.rules.values(), key=lambda rule: rule.name)
-    # Rules are compared only within a scope: thousands of keys with a rule each are common.
+def _check_rule_pairs(context: _Context) -> Findings:
+    rules = sorted(context.snapshot.rules.values(), key=lambda rule: rule.name)
+    # Rules are compared only within a scope, because thousands of keys with one rule each are
+    # common.
     by_scope: dict[tuple[str, str], list[objects.AssignmentRule]] = collections.defaultdict(list)
     for rule in rules:
         for key in dict.fromkeys(rule.keys or [""]):
             by_scope[rule.service, key].append(rule)
-    common: dict[tuple[str, str], list[str]] = collections.defaultdict(list)
-    for (_, key), sharing in by_scope.items():
-        for left, right in itertools.combinations(sharing, 2):
-            common[left.name, right.name].append(key)
-    named = scene.snapshot.rules
-    for (first, second), keys in sorted(common.items()):
-        left, right = named[first], named[second]
-        scope = f"key {_join(keys)}" if left.keys else f"every key of {left.service}"
-        yield _compare_rules(left, right, scope)
+    keys_by_pair: dict[tuple[str, str], list[str]] = collections.defaultdict(list)
+    for (_, key), scope_rules in by_scope.items():
+        for first_rule, second_rule in itertools.combinations(scope_rules, 2):
+            keys_by_pair[first_rule.name, second_rule.name].append(key)
+    rules_by_name = context.snapshot.rules
+    for (first, second), keys in sorted(keys_by_pair.items()):
+        first_rule, second_rule = rules_by_name[first], rules_by_name[second]
+        scope = f"key {_join(keys)}" if first_rule.keys else f"every key of {first_rule.service}"
+        yield _compare_rules(first_rule, second_rule, scope)
     for rule in rules:
         for wide in by_scope.get((rule.service, ""), []) if rule.keys else []:
             yield from _check_narrowing(wide, rule)
 
 
 def _compare_rules(
-    left: objects.AssignmentRule, right: objects.AssignmentRule, scope: str
+    first: objects.AssignmentRule, second: objects.AssignmentRule, scope: str
 ) -> finding.Finding:
-    ours, theirs = set(right.zones), set(left.zones)
-    if not ours & theirs:
+    second_zones, first_zones = set(second.zones), set(first.zones)
+    if not second_zones & first_zones:
         cause = (
-            f"would leave {scope} with two owners: rule {left.name} assigns it to {_join(theirs)}, "
-            f"this rule to {_join(ours)}"
+            f"would leave {scope} with two owners: rule {first.name} assigns it to "
+            f"{_join(first_zones)}, this rule to {_join(second_zones)}"
         )
-        return _refuse(finding.Code.TWO_OWNERS, right, "zones", cause)
-    if ours <= theirs or theirs <= ours:
-        shadowed = left if ours <= theirs else right
-        other = right if shadowed is left else left
+        return _refuse(finding.Code.TWO_OWNERS, second, "zones", cause)
+    if second_zones <= first_zones or first_zones <= second_zones:
+        shadowed = first if second_zones <= first_zones else second
+        other = second if shadowed is first else first
         cause = f"has no effect on {scope}: rule {other.name} already decides it more narrowly"
         return _refuse(finding.Code.SHADOWED, shadowed, "zones", cause)
     cause = (
-        f"contradicts rule {left.name} on {scope}: that rule permits {_join(theirs)}, this one "
-        f"{_join(ours)}"
+        f"contradicts rule {first.name} on {scope}: that rule permits {_join(first_zones)}, this "
+        f"one {_join(second_zones)}"
     )
-    return _refuse(finding.Code.CONTRADICTION, right, "zones", cause)
+    return _refuse(finding.Code.CONTRADICTION, second, "zones", cause)
 
 
-def _check_narrowing(wide: objects.AssignmentRule, narrow: objects.AssignmentRule) -> Findings:
-    ours, theirs = set(narrow.zones), set(wide.zones)
-    keys = _join(narrow.keys)
-    if not ours or not theirs:
+def _check_narrowing(
+    service_rule: objects.AssignmentRule, key_rule: objects.AssignmentRule
+) -> Findings:
+    key_zones, service_zones = set(key_rule.zones), set(service_rule.zones)
+    keys = _join(key_rule.keys)
+    if not key_zones or not service_zones:
         return
-    if not ours & theirs:
+    if not key_zones & service_zones:
         cause = (
-            f"would leave key {keys} without an owner: rule {wide.name} permits only "
-            f"{_join(theirs)} for every key of {wide.service}, this rule only {_join(ours)}"
+            f"would leave key {keys} without an owner: rule {service_rule.name} permits only "
+            f"{_join(service_zones)} for every key of {service_rule.service}, this rule only "
+            f"{_join(key_zones)}"
         )
-        yield _refuse(finding.Code.NO_OWNER, narrow, "zones", cause)
-    elif ours >= theirs:
+        yield _refuse(finding.Code.NO_OWNER, key_rule, "zones", cause)
+    elif key_zones >= service_zones:
         cause = (
-            f"has no effect on key {keys}: rule {wide.name} already restricts every key of "
-            f"{wide.service} to {_join(theirs)}"
+            f"has no effect on key {keys}: rule {service_rule.name} already restricts every key of "
+            f"{service_rule.service} to {_join(service_zones)}"
         )
-        yield _refuse(finding.Code.SHADOWED, narrow, "zones", cause)
-    elif not ours <= theirs:
+        yield _refuse(finding.Code.SHADOWED, key_rule, "zones", cause)
+    elif not key_zones <= service_zones:
         cause = (
-            f"contradicts rule {wide.name}, which excludes {_join(ours - theirs)} for every key of "
-            f"{wide.service}"
+            f"contradicts rule {service_rule.name}, which excludes "
+            f"{_join(key_zones - service_zones)} for every key of {service_rule.service}"
         )
-        yield _refuse(finding.Code.CONTRADICTION, narrow, "zones", cause)
+        yield _refuse(finding.Code.CONTRADICTION, key_rule, "zones", cause)
 
 
-def _check_rule(scene: _Scene, rule: objects.AssignmentRule) -> Findings:
-    snapshot = scene.snapshot
+def _check_rule(context: _Context, rule: objects.AssignmentRule) -> Findings:
+    snapshot = context.snapshot
     service = snapshot.services.get(rule.service)
     if service is not None and not service.is_keyed:
         cause = f"{rule.service} is a service without keys, so this rule is never used"
@@ -442,7 +451,7 @@
     if not rule.zones:
         cause = f"names no zone, which would leave {scope} without an owner"
         yield _refuse(finding.Code.NO_OWNER, rule, "zones", cause)
-    targets = scene.targets.get(rule.service)
+    targets = context.targets.get(rule.service)
     if zones and targets and not zones & {entry.zone for entry in targets}:
         cause = (
             f"would leave {scope} without an owner: no target of {rule.service} is in "
@@ -458,8 +467,8 @@
         )
 
 
-def _check_drain(scene: _Scene, drain: objects.DrainOrder) -> Findings:
-    snapshot = scene.snapshot
+def _check_drain(context: _Context, drain: objects.DrainOrder) -> Findings:
+    snapshot = context.snapshot
     if drain.zone is None and not drain.nodes:
         yield _refuse(finding.Code.EMPTY, drain, "zone", "names neither a zone nor a node")
     longest_ms = max((service.deadline_ms for service in snapshot.services.values()), default=0)
@@ -469,8 +478,8 @@
             f"arrive, and requests in flight may run {longest_ms} ms"
         )
         yield _refuse(finding.Code.IMPOSSIBLE_LIMIT, drain, "within_s", cause)
-    known = {entry.node for targets in scene.targets.values() for entry in targets}
-    if scene.is_announced:
+    known = {entry.node for targets in context.targets.values() for entry in targets}
+    if context.has_live_targets:
         for node in drain.nodes:
             if node not in known:
                 cause = f"node {node} is not in service at present; its drain has no effect"
@@ -482,47 +491,51 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _Effect:
-    """What drains would strand. Two effects with the same subject are the same loss."""
+    """Capacity or keys that drains would leave without a target.
+
+    Effects of different drains with the same ``subject`` describe the same loss.
+    """
 
     code: finding.Code
     subject: str
     cause: str
 
 
-def _check_stranding(scene: _Scene) -> Findings:
-    drains = list(scene.snapshot.drains.values())
+def _check_stranding(context: _Context) -> Findings:
+    drains = list(context.snapshot.drains.values())
     if not drains:
         return
-    alone = {
-        drain.name: {effect.subject for effect in _list_effects(scene, [drain])} for drain in drains
+    subjects_by_drain = {
+        drain.name: {effect.subject for effect in _list_effects(context, [drain])}
+        for drain in drains
     }
-    for effect in _list_effects(scene, drains):
-        culprits = [drain for drain in drains if effect.subject in alone[drain.name]]
-        for drain in culprits:
+    for effect in _list_effects(context, drains):
+        sufficient = [drain for drain in drains if effect.subject in subjects_by_drain[drain.name]]
+        for drain in sufficient:
             field = "nodes" if drain.zone is None else "zone"
             yield _refuse(effect.code, drain, field, effect.cause)
-        if not culprits:
-            involved = _minimise(scene, drains, effect.subject)
+        if not sufficient:
+            involved = _find_minimal_drains(context, drains, effect.subject)
             names = _join(drain.name for drain in involved)
             cause = f"together the drains {names} go too far: {effect.cause}"
             is_total = effect.code is finding.Code.EVERY_ZONE
             code = effect.code if is_total else finding.Code.OVERLAPPING_DRAINS
             yield _refuse(code, involved[0], "zone", cause)
-    yield from _check_known_need(scene, drains)
+    yield from _check_needed_slots(context, drains)
 
 
-def _minimise(scene: _Scene, drains: Drains, subject: str) -> Drains:
-    """Leave out drains as long as the effect remains, so that only those involved are named."""
+def _find_minimal_drains(context: _Context, drains: Drains, subject: str) -> Drains:
+    """Return a minimal subset of the drains that still has the effect, so that only it is named."""
     involved = list(drains)
     for drain in drains:
         rest = [entry for entry in involved if entry is not drain]
-        if subject in {effect.subject for effect in _list_effects(scene, rest)}:
+        if subject in {effect.subject for effect in _list_effects(context, rest)}:
             involved = rest
     return involved
 
 
-def _list_effects(scene: _Scene, drains: Drains) -> list[_Effect]:
-    snapshot = scene.snapshot
+def _list_effects(context: _Context, drains: Drains) -> list[_Effect]:
+    snapshot = context.snapshot
     zones = frozenset(snapshot.zones)
     open_zones = zones - {drain.zone for drain in drains}
     if zones and not open_zones:
@@ -530,7 +543,7 @@
         return [_Effect(code=finding.Code.EVERY_ZONE, subject="every-zone", cause=cause)]
     effects: list[_Effect] = []
     for service in snapshot.services.values():
-        targets = scene.targets.get(service.name)
+        targets = context.targets.get(service.name)
         usable = open_zones
         if targets:
             remaining = remove_drained(targets, drains)
@@ -554,9 +567,9 @@
         slots = sum(entry.slots for entry in remaining)
         if slots >= service.needed_slots:
             return None
-        whole = sum(entry.slots for entry in targets)
+        total = sum(entry.slots for entry in targets)
         cause = (
-            f"only {slots} of {whole} slots of {service.name} would remain, "
+            f"only {slots} of {total} slots of {service.name} would remain, "
             f"{service.needed_slots} are needed"
         )
     return _Effect(
@@ -567,10 +580,10 @@
 def _list_stranded_keys(
     snapshot: route.Snapshot, service: objects.Service, usable: Zones
 ) -> collections.abc.Iterator[_Effect]:
-    general, single = list_owner_zones(snapshot, service.name)
-    scopes = [("", f"every key of {service.name}", general)]
+    service_zones, key_zones = list_owner_zones(snapshot, service.name)
+    scopes = [("", f"every key of {service.name}", service_zones)]
     scopes += [
-        (name, f"key {name} of {service.name}", zones) for name, zones in sorted(single.items())
+        (name, f"key {name} of {service.name}", zones) for name, zones in sorted(key_zones.items())
     ]
     for name, scope, allowed in scopes:
         if allowed and not allowed & usable:
@@ -584,18 +597,18 @@
                 return
 
 
-def _check_known_need(scene: _Scene, drains: Drains) -> Findings:
-    for service in scene.snapshot.services.values():
-        targets = scene.targets.get(service.name)
+def _check_needed_slots(context: _Context, drains: Drains) -> Findings:
+    for service in context.snapshot.services.values():
+        targets = context.targets.get(service.name)
         if not targets:
             cause = "no zone states its targets; whether enough slots would remain is not known"
             yield _warn(finding.Code.UNKNOWN_CAPACITY, service, "name", cause)
             continue
         remaining = remove_drained(targets, drains)
         if service.needed_slots == 0 and 0 < len(remaining) < len(targets):
-            slots, whole = (sum(entry.slots for entry in part) for part in (remaining, targets))
+            slots, total = (sum(entry.slots for entry in part) for part in (remaining, targets))
             cause = (
-                f"needed_slots is not stated; {slots} of {whole} slots would remain, and whether "
+                f"needed_slots is not stated; {slots} of {total} slots would remain, and whether "
                 "that suffices is not known"
             )
             yield _warn(finding.Code.UNKNOWN_CAPACITY, service, "needed_slots", cause)
@@ -645,7 +658,7 @@
 
 
 def _check_narrowing_changes(old: route.Snapshot, new: route.Snapshot) -> Findings:
-    """Warn of changes by which callers are refused more than before."""
+    """Warn of changes after which more requests of callers are refused than before."""
     for name in sorted(old.services.keys() & new.services.keys()):
         before, after = old.services[name], new.services[name]
         removed = set(before.idempotent_methods) - set(after.idempotent_methods)
--- a/src/ebonyvalve/version/finding.py
+++ b/src/ebonyvalve/version/finding.py
@@ -1,4 +1,4 @@
-"""What the loader and the check tell an operator about the objects."""
+"""Findings: the refusals and warnings about objects that are shown to an operator."""
 
 import collections.abc
 import enum
@@ -14,7 +14,7 @@
 
 
 class Code(enum.Enum):
-    """The kind of a finding, stable for scripts that read the JSON output."""
+    """The kind of a finding. The values are stable for scripts that read the JSON output."""
 
     UNREADABLE = "unreadable"
     OVERSIZED = "oversized"
@@ -50,7 +50,7 @@
 
 
 class Finding(msgspec.Struct, kw_only=True, frozen=True):
-    """A refusal or a warning, with the place it concerns and its cause."""
+    """A refusal or a warning, with its cause and the file, object and field that it concerns."""
 
     severity: Severity
     code: Code
@@ -70,11 +70,11 @@
     """Return a refusal.
 
     :param code: its kind.
-    :param cause: what is wrong, in an operator's words.
-    :param file: the file, where known.
-    :param kind: the kind of the object, where known.
-    :param name: the name of the object, where known.
-    :param field: the path of the field, where known.
+    :param cause: what is wrong, in terms that an operator knows.
+    :param file: the file, if known.
+    :param kind: the kind of the object, if known.
+    :param name: the name of the object, if known.
+    :param field: the path of the field, if known.
     """
     return Finding(
         severity=Severity.REFUSAL,
@@ -92,9 +92,9 @@
 
     :param code: its kind.
     :param cause: what is unusual, and its effect.
-    :param kind: the kind of the object, where known.
-    :param name: the name of the object, where known.
-    :param field: the field, where known.
+    :param kind: the kind of the object, if known.
+    :param name: the name of the object, if known.
+    :param field: the field, if known.
     """
     return Finding(
         severity=Severity.WARNING, code=code, cause=cause, kind=kind, name=name, field=field
@@ -110,7 +110,7 @@
 
 
 def locate(findings: collections.abc.Iterable[Finding], files: Files) -> list[Finding]:
-    """Return the findings with the file of each object filled in.
+    """Return the findings with the files of their objects filled in.
 
     :param findings: findings that name objects.
     :param files: the file of each object, by kind and name.
--- a/src/ebonyvalve/version/load.py
+++ b/src/ebonyvalve/version/load.py
@@ -1,4 +1,4 @@
-"""Reads a directory of object files. A set with any fault is refused as a whole."""
+"""Reads directories of object files. A set with any fault is refused as a whole."""
 
 import collections.abc
 import dataclasses
@@ -14,7 +14,7 @@
 
 MAX_FILE_BYTES = 1024 * 1024
 MAX_DEPTH = 32
-# A 64-bit integer has at most 20 characters; longer ones only cost time to convert.
+# A 64-bit integer has at most 20 characters; converting longer ones only takes time.
 MAX_INTEGER_DIGITS = 20
 KINDS: dict[str, type[objects.AnyObject]] = {
     "Service": objects.Service,
@@ -23,8 +23,8 @@
     "AssignmentRule": objects.AssignmentRule,
     "DrainOrder": objects.DrainOrder,
 }
-# A string is matched as one token so that brackets inside it do not count. The possessive
-# quantifier and the optional closing quote keep the scan linear on unterminated strings.
+# A string is matched as one token so that brackets inside it are not counted. The possessive
+# quantifier and the optional closing quote keep the scan linear for unterminated strings.
 _TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*+"?|[\[\]{}]', re.DOTALL)
 _SURROGATE = re.compile("[\ud800-\udfff]")
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Loaded:
-    """A set of objects, and the file of each by kind and name."""
+    """A set of objects, and the file of each object by its kind and name."""
 
     objects: objects.ObjectSet
     files: dict[tuple[str, str], str]
@@ -60,7 +60,7 @@
 
 
 def read_directories(paths: collections.abc.Iterable[pathlib.Path]) -> LoadResult:
-    """Read every ``*.json`` file of the directories as one set.
+    """Read the ``*.json`` files of directories as one set of objects.
 
     :param paths: the directories; subdirectories and other files are not read.
     """
@@ -81,7 +81,7 @@
 
 
 def parse_files(bodies: collections.abc.Mapping[str, bytes]) -> LoadResult:
-    """Turn the contents of files into a set of objects, or list every fault.
+    """Parse the contents of files into a set of objects, or return every fault.
 
     :param bodies: the content of each file by its name.
     """
@@ -114,7 +114,7 @@
 def _read_file(path: pathlib.Path, bodies: dict[str, bytes], faults: list[finding.Finding]) -> None:
     try:
         if not path.is_file():
-            # Opening a named pipe would block until somebody writes to it.
+            # Opening a named pipe would block until a writer opens it.
             cause = "is not a regular file"
             faults.append(finding.refuse(finding.Code.UNREADABLE, cause, file=str(path)))
             return
@@ -198,16 +198,16 @@
     file: str, path: str, entry: _Pairs, faults: list[finding.Finding]
 ) -> _Draft | None:
     labels = {key: value for key, value in entry.items if isinstance(value, str)}
-    kind = _clean(labels.get("kind", ""))
-    name = _clean(labels.get("name", ""))
-    before = len(faults)
+    kind = _replace_surrogates(labels.get("kind", ""))
+    name = _replace_surrogates(labels.get("name", ""))
+    count_before = len(faults)
 
     def record(code: finding.Code, cause: str, field: str) -> None:
         faults.append(
             finding.refuse(code, cause, file=file, kind=kind, name=name or path, field=field)
         )
 
-    members = _plain(entry, "", record)
+    members = _convert_pairs(entry, "", record)
     if kind not in KINDS:
         stated = f"unknown kind {kind!r}" if kind else "kind is missing or not a string"
         cause = f"{stated}; the kinds are {', '.join(KINDS)}"
@@ -216,70 +216,72 @@
                 finding.Code.UNKNOWN_KIND, cause, file=file, name=name or path, field="kind"
             )
         )
-    if len(faults) > before:
+    if len(faults) > count_before:
         return None
     del members["kind"]
     return _Draft(file=file, kind=kind, name=name or path, members=members)
 
 
-def _clean(text: str) -> str:
+def _replace_surrogates(text: str) -> str:
     return _SURROGATE.sub("\ufffd", text)
 
 
-Record = collections.abc.Callable[[finding.Code, str, str], None]
+RecordFault = collections.abc.Callable[[finding.Code, str, str], None]
 
 
-def _plain(value: typing.Any, path: str, record: Record) -> typing.Any:
-    """Return the value with plain dicts, recording duplicate members and unpaired surrogates."""
+def _convert_pairs(value: typing.Any, path: str, record: RecordFault) -> typing.Any:
+    """Convert JSON objects to dicts, and record duplicate members and unpaired surrogates."""
     if isinstance(value, str):
         if _SURROGATE.search(value):
             record(finding.Code.BAD_UTF8, "contains an unpaired surrogate", path)
         return value
     if isinstance(value, list):
-        return [_plain(entry, f"{path}[{index}]", record) for index, entry in enumerate(value)]
+        return [
+            _convert_pairs(entry, f"{path}[{index}]", record) for index, entry in enumerate(value)
+        ]
     if not isinstance(value, _Pairs):
         return value
     members: Members = {}
     for key, member in value.items:
-        inner = f"{path}.{_clean(key)}" if path else _clean(key)
+        inner = f"{path}.{_replace_surrogates(key)}" if path else _replace_surrogates(key)
         if _SURROGATE.search(key):
             record(finding.Code.BAD_UTF8, "contains an unpaired surrogate", inner)
         if key in members:
             record(finding.Code.DUPLICATE_MEMBER, "is stated more than once", inner)
-        members[key] = _plain(member, inner, record)
+        members[key] = _convert_pairs(member, inner, record)
     return members
 
 
 def _refuse_duplicate_names(drafts: list[_Draft], faults: list[finding.Finding]) -> None:
-    seen: dict[tuple[str, str], str] = {}
+    files_by_name: dict[tuple[str, str], str] = {}
     for draft in drafts:
         if "name" not in draft.members:
             continue
-        identity = (draft.kind, draft.name)
-        if identity in seen:
+        kind_and_name = (draft.kind, draft.name)
+        if kind_and_name in files_by_name:
             faults.append(
                 finding.refuse(
                     finding.Code.DUPLICATE_NAME,
-                    f"another {draft.kind} of this name is in {seen[identity]}",
+                    f"another {draft.kind} of this name is in {files_by_name[kind_and_name]}",
                     file=draft.file,
                     kind=draft.kind,
                     name=draft.name,
                     field="name",
                 )
             )
-        seen.setdefault(identity, draft.file)
+        files_by_name.setdefault(kind_and_name, draft.file)
 
 
 def _inherit(draft: _Draft, services: collections.abc.Mapping[str, Members]) -> Members:
-    """Return a service's members with those of the services it is like filled in.
+    """Return a service's members, with missing ones inherited along its chain of ``like``.
 
-    A reference that is circular or leads nowhere ends the chain; the check refuses it.
+    A circular or dangling reference ends the chain; the check refuses it.
     """
     members = dict(draft.members)
-    seen = {draft.name}
+    visited = {draft.name}
     like = members.get("like")
-    while isinstance(like, str) and like not in seen and like in services:
-        seen.add(like)
+    while isinstance(like, str) and like not in visited and like in services:
+        visited.add(like)
         base = services[like]
         members = {key: value for key, value in base.items() if key != "like"} | members
         like = base.get("like")
@@ -292,7 +294,7 @@
     """Convert the members field by field, so that every fault of an object is reported."""
     kind = KINDS[draft.kind]
     fields = {field.name: field for field in msgspec.structs.fields(kind)}
-    before = len(faults)
+    count_before = len(faults)
 
     def refuse(code: finding.Code, cause: str, field: str) -> None:
         faults.append(
@@ -304,21 +306,21 @@
     values: Members = {}
     for key, value in members.items():
         if key not in fields:
-            # A field inherited from another service is reported there.
+            # A fault in an inherited field is reported for the service that states it.
             if key in draft.members:
                 known = ", ".join(fields)
                 refuse(finding.Code.UNKNOWN_FIELD, f"is not a field; the fields are {known}", key)
             continue
-        reports = list(_list_faults(value, fields[key].type))
-        if not reports:
+        value_faults = list(_list_faults(value, fields[key].type))
+        if not value_faults:
             values[key] = msgspec.convert(value, type=fields[key].type)
         elif key in draft.members:
-            for cause, inner in reports:
+            for cause, inner in value_faults:
                 refuse(finding.Code.BAD_VALUE, cause, f"{key}{inner}")
     for key, field in fields.items():
         if field.required and key not in members:
             refuse(finding.Code.MISSING_FIELD, "is required", key)
-    if len(faults) > before:
+    if len(faults) > count_before:
         return None
     return kind(**values)
 
@@ -333,13 +335,13 @@
     elif origin is dict and isinstance(value, dict):
         name, element = typing.get_args(kind)
         for key, entry in value.items():
-            yield from _prefix(f".{_clean(key)}", _list_faults(key, name))
-            yield from _prefix(f".{_clean(key)}", _list_faults(entry, element))
+            yield from _prefix(f".{_replace_surrogates(key)}", _list_faults(key, name))
+            yield from _prefix(f".{_replace_surrogates(key)}", _list_faults(entry, element))
     else:
         try:
             msgspec.convert(value, type=kind)
         except msgspec.ValidationError as error:
-            yield _explain(str(error)), ""
+            yield _rephrase(str(error)), ""
 
 
 def _prefix(
@@ -349,8 +351,8 @@
         yield cause, path + inner
 
 
-def _explain(message: str) -> str:
-    """Return the cause that msgspec gives in an operator's words."""
+def _rephrase(message: str) -> str:
+    """Rephrase an error message of msgspec in terms that an operator knows."""
     for pattern, meaning in objects.PATTERNS.items():
         if repr(pattern) in message:
             return f"must be {meaning}"
--- a/src/ebonyvalve/version/objects.py
+++ b/src/ebonyvalve/version/objects.py
@@ -1,7 +1,7 @@
-"""The objects that operators edit.
+"""The configuration objects that operators edit, and the encoding of a set of them.
 
-The limits in the annotations apply whenever an object is decoded. They keep out values that no
-deployment can mean; ``version.check`` judges values against each other.
+The limits in the annotations apply whenever an object is decoded. They reject values that are
+invalid in any deployment; ``version.check`` checks values against each other.
 """
 
 import hashlib
@@ -58,9 +58,10 @@
     warm_up_s: Seconds = 20.0
     token_life_s: Seconds = 300.0
     max_body_bytes: Bytes = 256 * 1024 * 1024
-    # Slots that must remain in service while zones or nodes are drained; 0 when not stated.
+    # Slots that must remain in service while zones or nodes are drained; 0 if not stated.
     needed_slots: Count = 0
-    # The service whose fields apply where this object's file states none. The loader fills them in.
+    # The service from which fields that this object's file omits are inherited. The loader fills
+    # them in.
     like: ServiceName | None = None
 
 
@@ -72,11 +73,11 @@
     tag="AvailabilityZone",
     tag_field="kind",
 ):
-    """An availability zone that targets may stand in."""
+    """An availability zone in which targets run."""
 
     name: ZoneName
     region: Text = ""
-    # Expected number of targets of each service; used when no target has announced itself.
+    # Expected number of targets of each service; used while no target has announced itself.
     targets: dict[ServiceName, Count] = {}
 
 
@@ -88,7 +89,7 @@
     tag="Key",
     tag_field="kind",
 ):
-    """A key that is treated apart from its partition."""
+    """A key that has its own shard instead of belonging to a partition."""
 
     name: Name
     service: ServiceName
@@ -106,8 +107,8 @@
 ):
     """Restricts the zones whose targets may own keys of a service.
 
-    The check admits one rule for all keys of a service, and one rule for each key. The zones of a
-    key's rule must be a part of the zones of the service's rule, so that no precedence is needed.
+    The check accepts one rule for all keys of a service, and one rule for each key. The zones of a
+    key's rule must be a subset of those of the service's rule, so that no precedence is needed.
     """
 
     name: Name
@@ -131,7 +132,7 @@
     reason: Text
     zone: ZoneName | None = None
     nodes: list[NodeName] = []
-    # Seconds from coming into force until the last shard must have left.
+    # Seconds within which the last shard must have been moved away once the order is in force.
     within_s: Seconds = 60.0
 
 
@@ -145,7 +146,7 @@
 
 
 def name_kind(entry: AnyObject) -> str:
-    """Return the kind of an object, as files state it.
+    """Return the kind of an object, as written in files.
 
     :param entry: the object.
     """
@@ -163,8 +164,8 @@
 def encode_body(entries: ObjectSet) -> bytes:
     """Return the canonical JSON of a set.
 
-    Defaults are written out, so that a later release with other defaults does not change what is
-    in force.
+    Default values are included, so that a release with other defaults does not change the
+    configuration in force.
 
     :param entries: the whole set.
     """
@@ -172,7 +173,7 @@
 
 
 def decode_body(body: bytes) -> result.Result[ObjectSet, str]:
-    """Return the set of a canonical JSON body, or why it cannot be read.
+    """Return the set that a canonical JSON body contains, or why it cannot be read.
 
     :param body: made by :func:`encode_body`.
     """
@@ -183,7 +184,7 @@
 
 
 def digest_body(body: bytes) -> str:
-    """Return the name of a body in the object store.
+    """Return the name of a body in the object store, which contains its digest.
 
     :param body: made by :func:`encode_body`.
     """
--- a/src/ebonyvalve/version/plan.py
+++ b/src/ebonyvalve/version/plan.py
@@ -1,4 +1,4 @@
-"""Says what publishing a set of objects would change, and whether it is safe."""
+"""Builds the plan of a publication: what it would change, and whether it is safe."""
 
 import collections.abc
 import enum
@@ -10,13 +10,13 @@
 from ebonyvalve.process import identity
 from ebonyvalve.version import check, finding, objects, route
 
-# The coordinator reads the head every 500 ms, and every node needs the version within one lease
-# period of 450 ms after that.
+# The coordinator reads the head row every 500 ms, and every node must have the version within the
+# lease period of 450 ms after that.
 IN_FORCE_S = 1.0
-# Assumed rate of planned moves. A commit moves up to a page of 64 partitions; the rest is reserve
-# for a slow store.
+# Assumed rate of planned moves. One commit moves up to a page of 64 partitions, so one commit per
+# second is assumed, which leaves a reserve for a slow store.
 MOVES_PER_S = 64.0
-# Shards named in the text output; hundreds would hide the verdict.
+# Maximum number of shards named in the text output; with hundreds, the verdict is hard to find.
 MAX_SHOWN = 8
 
 
@@ -37,7 +37,7 @@
 
 
 class Change(msgspec.Struct, kw_only=True, frozen=True):
-    """An object that differs between two sets. ``fields`` is empty unless it is changed."""
+    """An object that differs between two sets. ``fields`` is empty if it was added or removed."""
 
     action: Action
     kind: str
@@ -46,7 +46,7 @@
 
 
 class LoadChange(msgspec.Struct, kw_only=True, frozen=True):
-    """The share of its service's load that a target carries, before and after, in percent."""
+    """The percentage of its service's load that a target carries before and after the change."""
 
     node: identity.NodeId
     zone: identity.ZoneId
@@ -55,10 +55,10 @@
 
 
 class Impact(msgspec.Struct, kw_only=True, frozen=True):
-    """The effect on one service.
+    """The effect of a change on one service.
 
-    ``moving`` counts the shards that move. An estimate from the number of targets neither names
-    them in ``shards``, nor says in ``takes_s`` how long their moves take.
+    ``moving`` is the number of shards that move. An estimate from the number of targets leaves
+    ``shards``, which names them, empty and ``takes_s``, the duration of the moves, ``None``.
     """
 
     service: identity.ServiceId
@@ -74,7 +74,7 @@
 
 
 class Plan(msgspec.Struct, kw_only=True, frozen=True):
-    """What publishing would do. ``base`` is the version in force that it was compared with."""
+    """The effects of a publication, compared with version ``base``, which is in force."""
 
     base: identity.ConfigVersion
     is_safe: bool
@@ -96,14 +96,14 @@
     new = {(objects.name_kind(entry), entry.name): entry for entry in after.objects}
     changes: list[Change] = []
     for kind, name in sorted(old.keys() | new.keys()):
-        left, right = old.get((kind, name)), new.get((kind, name))
-        if left == right:
+        old_entry, new_entry = old.get((kind, name)), new.get((kind, name))
+        if old_entry == new_entry:
             continue
-        if left is None or right is None:
-            action = Action.ADDED if left is None else Action.REMOVED
+        if old_entry is None or new_entry is None:
+            action = Action.ADDED if old_entry is None else Action.REMOVED
             changes.append(Change(action=action, kind=kind, name=name))
         else:
-            fields = _diff_fields(left, right)
+            fields = _diff_fields(old_entry, new_entry)
             changes.append(Change(action=Action.CHANGED, kind=kind, name=name, fields=fields))
     return changes
 
@@ -116,13 +116,13 @@
     targets: collections.abc.Sequence[check.Target] | None = None,
     preview: PreviewFunction | None = None,
 ) -> Plan:
-    """Return what publishing a set would do.
+    """Return the plan of a publication.
 
     :param base: the version in force, 0 for none.
     :param before: the objects in force; empty for none.
-    :param after: the objects that shall be published.
-    :param targets: the targets in service, where known.
-    :param preview: the effect on placement; without it, an estimate from the number of targets.
+    :param after: the objects to publish.
+    :param targets: the targets in service, if known.
+    :param preview: predicts the moves; without it, they are estimated from the number of targets.
     """
     found = [
         *check.check_objects(after, targets),
@@ -138,7 +138,7 @@
     return Plan(
         base=base,
         is_safe=not refusals,
-        verdict=_judge(changes, found),
+        verdict=_build_verdict(changes, found),
         changes=changes,
         impacts=impacts,
         takes_s=takes_s,
@@ -148,18 +148,18 @@
 
 
 def build_estimate(targets: collections.abc.Sequence[check.Target] | None) -> PreviewFunction:
-    """Return a preview that assumes an even spread of shards by slots.
+    """Return a preview function that assumes that shards are spread evenly by slots.
 
-    :param targets: the targets in service; without them, those that the zones state.
+    :param targets: the targets in service; without them, those that the zones state are used.
     """
 
     def preview(before: objects.ObjectSet, after: objects.ObjectSet) -> list[Impact]:
         old = route.build_snapshot(identity.ConfigVersion(0), before.objects)
         new = route.build_snapshot(identity.ConfigVersion(0), after.objects)
-        left = check.list_stated_targets(before) if targets is None else targets
-        right = check.list_stated_targets(after) if targets is None else targets
+        old_targets = check.list_stated_targets(before) if targets is None else targets
+        new_targets = check.list_stated_targets(after) if targets is None else targets
         return [
-            _estimate_impact(old, new, service, left, right)
+            _estimate_impact(old, new, service, old_targets, new_targets)
             for service in new.services.values()
             if service.name in old.services
         ]
@@ -180,7 +180,7 @@
         lines.append(f"in force everywhere and all moves done after about {plan.takes_s:.1f} s")
     if plan.changes:
         lines += [f"meanwhile: {text}" for text in plan.refused_meanwhile]
-    # What is narrowed is part of the lines above.
+    # Findings of this code are among the lines about refused requests above.
     shown = [entry for entry in plan.findings if entry.code is not finding.Code.NARROWED]
     lines += [finding.render(entry) for entry in shown]
     return [*lines, plan.verdict]
@@ -196,22 +196,24 @@
     return f"{change.action.value} {change.kind} {change.name}{detail}"
 
 
-def _diff_fields(left: objects.AnyObject, right: objects.AnyObject) -> list[FieldChange]:
+def _diff_fields(old_entry: objects.AnyObject, new_entry: objects.AnyObject) -> list[FieldChange]:
     return [
         FieldChange(
-            field=name, before=_show(getattr(left, name)), after=_show(getattr(right, name))
+            field=name,
+            before=_encode(getattr(old_entry, name)),
+            after=_encode(getattr(new_entry, name)),
         )
-        for name in left.__struct_fields__
-        if getattr(left, name) != getattr(right, name)
+        for name in old_entry.__struct_fields__
+        if getattr(old_entry, name) != getattr(new_entry, name)
     ]
 
 
-def _show(value: object) -> str:
+def _encode(value: object) -> str:
     return msgspec.json.encode(value).decode()
 
 
-def _judge(changes: list[Change], found: list[finding.Finding]) -> str:
-    refusals = finding.list_refusals(found)
+def _build_verdict(changes: list[Change], findings: list[finding.Finding]) -> str:
+    refusals = finding.list_refusals(findings)
     if refusals:
         first = msgspec.structs.replace(refusals[0], file="")
         place = " ".join(part for part in (first.kind, first.name, first.field) if part)
@@ -220,7 +222,7 @@
         return f"not safe to publish: {place}{': ' if place else ''}{first.cause}{more}"
     if not changes:
         return "nothing to publish: these objects are in force"
-    warnings = len(found)
+    warnings = len(findings)
     noted = f", with {warnings} warning{'s' if warnings > 1 else ''} above" if warnings else ""
     return f"safe to publish{noted}"
 
@@ -229,12 +231,12 @@
     old: route.Snapshot,
     new: route.Snapshot,
     service: objects.Service,
-    left: collections.abc.Sequence[check.Target],
-    right: collections.abc.Sequence[check.Target],
+    old_targets: collections.abc.Sequence[check.Target],
+    new_targets: collections.abc.Sequence[check.Target],
 ) -> Impact:
-    before = _spread(old, old.services[service.name], left)
-    after = _spread(new, service, right)
-    zones = {entry.node: entry.zone for entry in [*left, *right]}
+    before = _compute_fractions(old, old.services[service.name], old_targets)
+    after = _compute_fractions(new, service, new_targets)
+    zones = {entry.node: entry.zone for entry in [*old_targets, *new_targets]}
     loads = [
         LoadChange(
             node=node,
@@ -245,28 +247,37 @@
         for node in sorted(before.keys() | after.keys())
         if not math.isclose(before.get(node, 0.0), after.get(node, 0.0))
     ]
-    # Only what a target loses moves; without targets before, nothing had an owner.
-    lost = sum(max(share - after.get(node, 0.0), 0.0) for node, share in before.items())
+    # A shard moves only from a target whose fraction decreases. Without targets before, no shard
+    # had an owner that it could move from.
+    lost_fraction = sum(
+        max(fraction - after.get(node, 0.0), 0.0) for node, fraction in before.items()
+    )
     keys = {key.name for key in new.keys.values() if key.service == service.name}
-    old_zones, old_single = check.list_owner_zones(old, service.name)
-    new_zones, new_single = check.list_owner_zones(new, service.name)
-    rehomed = {
-        name for name in keys if old_single.get(name, old_zones) != new_single.get(name, new_zones)
+    old_zones, old_key_zones = check.list_owner_zones(old, service.name)
+    new_zones, new_key_zones = check.list_owner_zones(new, service.name)
+    keys_with_new_zones = {
+        name
+        for name in keys
+        if old_key_zones.get(name, old_zones) != new_key_zones.get(name, new_zones)
     }
     return Impact(
         service=service.name,
         shard_count=(service.partitions + len(keys)) if service.is_keyed else 0,
-        moving=(math.ceil(lost * service.partitions) + len(rehomed)) if service.is_keyed else 0,
+        moving=(
+            (math.ceil(lost_fraction * service.partitions) + len(keys_with_new_zones))
+            if service.is_keyed
+            else 0
+        ),
         loads=loads,
     )
 
 
-def _spread(
+def _compute_fractions(
     snapshot: route.Snapshot,
     service: objects.Service,
     targets: collections.abc.Sequence[check.Target],
 ) -> dict[identity.NodeId, float]:
-    """Return the share of the service that each target carries when shards are spread by slots."""
+    """Return the fraction of the service that each target carries if shards are spread by slots."""
     zones, _ = check.list_owner_zones(snapshot, service.name)
     open_targets = [
         entry
@@ -278,12 +289,12 @@
 
 
 def _estimate_duration(after: objects.ObjectSet, impacts: list[Impact]) -> float:
-    """Return seconds until the version is in force and every move is done."""
+    """Return the estimated seconds until the version is in force and all moves are done."""
     if not any(impact.moving for impact in impacts):
         return IN_FORCE_S
     affected = {impact.service for impact in impacts if impact.moving}
-    # An owner releases a shard once the requests in flight have ended.
-    flight_ms = max(
+    # An owner releases a shard only when its requests in flight have ended.
+    longest_deadline_ms = max(
         entry.deadline_ms
         for entry in after.objects
         if isinstance(entry, objects.Service) and entry.name in affected
@@ -292,7 +303,7 @@
         impact.moving / MOVES_PER_S if impact.takes_s is None else impact.takes_s
         for impact in impacts
     )
-    return round(IN_FORCE_S + flight_ms / 1000 + moves_s, 1)
+    return round(IN_FORCE_S + longest_deadline_ms / 1000 + moves_s, 1)
 
 
 def _check_drain_times(
@@ -315,7 +326,7 @@
 
 
 def _list_refused(
-    before: objects.ObjectSet, after: objects.ObjectSet, found: list[finding.Finding]
+    before: objects.ObjectSet, after: objects.ObjectSet, findings: list[finding.Finding]
 ) -> list[str]:
     old = route.build_snapshot(identity.ConfigVersion(0), before.objects)
     new = route.build_snapshot(identity.ConfigVersion(0), after.objects)
@@ -323,20 +334,20 @@
         f"every request to {name} is refused once the version is in force"
         for name in sorted(old.services.keys() - new.services.keys())
     ]
-    lines += [entry.cause for entry in found if entry.code is finding.Code.NARROWED]
+    lines += [entry.cause for entry in findings if entry.code is finding.Code.NARROWED]
     lines += [
-        f"{_name_places(new.drains[name])} receives no new work; requests in flight end normally"
+        f"{_name_drained(new.drains[name])} receives no new work; requests in flight end normally"
         for name in sorted(new.drains.keys() - old.drains.keys())
     ]
     warm_up_s = max((entry.warm_up_s for entry in new.services.values()), default=0.0)
     lines += [
-        f"{_name_places(old.drains[name])} takes load gradually for {warm_up_s:g} s or longer"
+        f"{_name_drained(old.drains[name])} takes load gradually for {warm_up_s:g} s or longer"
         for name in sorted(old.drains.keys() - new.drains.keys())
     ]
     return lines or ["nothing is refused that is answered now"]
 
 
-def _name_places(drain: objects.DrainOrder) -> str:
+def _name_drained(drain: objects.DrainOrder) -> str:
     places = [f"zone {drain.zone}"] if drain.zone else []
     return " and ".join([*places, *(f"node {node}" for node in drain.nodes)])
 
--- a/src/ebonyvalve/version/route.py
+++ b/src/ebonyvalve/version/route.py
@@ -1,4 +1,4 @@
-"""The accepted configuration, indexed for use on every request."""
+"""The objects of an accepted configuration, indexed for lookups on every request."""
 
 import collections.abc
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Snapshot:
-    """One accepted configuration. It is replaced as a whole, never changed."""
+    """One accepted configuration. A new version replaces the object; it is never modified."""
 
     version: identity.ConfigVersion
     services: dict[identity.ServiceId, objects.Service]
@@ -24,7 +24,7 @@
 def build_snapshot(
     version: identity.ConfigVersion, entries: collections.abc.Iterable[objects.AnyObject]
 ) -> Snapshot:
-    """Index the objects of a checked configuration.
+    """Build a snapshot from the objects of a checked configuration.
 
     :param version: the version under which they were accepted.
     :param entries: the objects.
@@ -60,16 +60,16 @@
 
     :param service: the service.
     :param key: the key.
-    :param assigned: the shards known at present; a key with a shard of its own uses it.
+    :param assigned: the shards known at present; a key that has its own shard uses that one.
     """
-    own = identity.name_key(service.name, key)
-    if own in assigned:
-        return own
+    key_shard = identity.name_key(service.name, key)
+    if key_shard in assigned:
+        return key_shard
     return identity.name_partition(service.name, find_partition(service, key))
 
 
 def list_shards(snapshot: Snapshot) -> collections.abc.Iterator[identity.ShardId]:
-    """Return the shards that a configuration names: all partitions, and the keys treated apart.
+    """Yield the shards that a configuration defines: all partitions, and keys with their own shard.
 
     :param snapshot: the configuration.
     """
--- a/tests/version/test_check.py
+++ b/tests/version/test_check.py
@@ -1,4 +1,4 @@
-"""Checks the examples: each faulty directory is refused in these words, the others are accepted."""
+"""Tests of the check of objects, and of the example directories."""
 
 import json
 import pathlib
@@ -9,7 +9,7 @@
 from ebonyvalve.version import check, finding, load, objects
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
-# These need a large file, a file that cannot be read, or a set in force.
+# Not covered by the examples: these need a large file, an unreadable file, or a set in force.
 TESTED_ELSEWHERE = {
     finding.Code.OVERSIZED,
     finding.Code.UNREADABLE,
@@ -22,18 +22,18 @@
     finding.Code.UNKNOWN_CAPACITY,
     finding.Code.UNUSUAL,
 }
-# The lines of refusal that each directory of faulty examples gives.
+# The refusals that are expected for each directory of faulty examples.
 REFUSALS: dict[str, list[str]] = json.loads(
     (pathlib.Path(__file__).parent / "refusals.json").read_text()
 )
 
 
-def judge(*directories: pathlib.Path) -> list[finding.Finding]:
+def check_directories(*directories: pathlib.Path) -> list[finding.Finding]:
     loaded = load.read_directories(directories)
     return loaded.swap().value_or([]) or check.check_objects(loaded.unwrap().objects)
 
 
-def warn_about(*entries: objects.AnyObject) -> list[str]:
+def list_warnings(*entries: objects.AnyObject) -> list[str]:
     found = check.check_objects(objects.sort_objects(entries))
     assert not finding.list_refusals(found)
     return [f"{entry.code.value} {entry.name} {entry.field}" for entry in found]
@@ -41,15 +41,15 @@
 
 @pytest.mark.parametrize("name", sorted(REFUSALS))
 def test_faulty_example_is_refused(name: str) -> None:
-    """Guards against a kind of fault that is let through, or explained wrongly."""
+    """Guards against accepting a kind of fault, or explaining it with another cause."""
     directory = EXAMPLES / "faulty" / name
-    lines = [finding.render(entry) for entry in finding.list_refusals(judge(directory))]
+    lines = [finding.render(entry) for entry in finding.list_refusals(check_directories(directory))]
     shown = [line.removeprefix("refused ").replace(f"{directory}/", "") for line in lines]
     assert [line.replace("] objects.json: ", "] ") for line in shown] == REFUSALS[name]
 
 
 def test_every_kind_of_refusal_has_an_example() -> None:
-    """Guards against a new kind of refusal without an example, and a directory never tested."""
+    """Guards against a kind of refusal without an example, and an example that no test reads."""
     assert {path.name for path in (EXAMPLES / "faulty").iterdir()} == set(REFUSALS)
     shown = " ".join(line for lines in REFUSALS.values() for line in lines)
     missing = [code for code in finding.Code if f"[{code.value}]" not in shown]
@@ -58,9 +58,9 @@
 
 @pytest.mark.parametrize("name", ["andinaflota", "chambre-noire"])
 def test_deployments_are_accepted(name: str) -> None:
-    """Guards against refusals or warnings for what runs today, with and without its drain."""
-    assert judge(EXAMPLES / name) == []
-    assert judge(EXAMPLES / name, EXAMPLES / f"{name}-drain") == []
+    """Guards against refusals or warnings for valid deployments, with and without a drain."""
+    assert check_directories(EXAMPLES / name) == []
+    assert check_directories(EXAMPLES / name, EXAMPLES / f"{name}-drain") == []
 
 
 SERVICE = objects.Service(name=identity.ServiceId("store"))
@@ -71,21 +71,21 @@
 
 
 def test_warnings_for_legal_but_unusual_objects() -> None:
-    """Guards against a risk that is accepted without a word."""
+    """Guards against accepting a risky configuration without a warning."""
     slow = objects.Service(name=SERVICE.name, checks_fence=False, deadline_ms=600)
-    assert warn_about(slow, *ZONES) == ["slow-recovery store deadline_ms"]
+    assert list_warnings(slow, *ZONES) == ["slow-recovery store deadline_ms"]
     post = objects.Service(name=SERVICE.name, idempotent_methods=["GET", "POST"])
-    assert warn_about(post, *ZONES) == ["unusual store idempotent_methods"]
+    assert list_warnings(post, *ZONES) == ["unusual store idempotent_methods"]
     few = objects.Service(name=SERVICE.name, partitions=1)
-    assert warn_about(few, *ZONES) == ["unusual store partitions"]
+    assert list_warnings(few, *ZONES) == ["unusual store partitions"]
     pin = objects.AssignmentRule(name="pin", service=SERVICE.name, zones=[ZONES[0].name])
-    assert warn_about(SERVICE, *ZONES, pin) == ["single-zone pin zones"]
+    assert list_warnings(SERVICE, *ZONES, pin) == ["single-zone pin zones"]
     drain = objects.DrainOrder(name="work", reason="", zone=ZONES[0].name)
-    assert warn_about(SERVICE, *ZONES, drain) == ["unknown-capacity store needed_slots"]
+    assert list_warnings(SERVICE, *ZONES, drain) == ["unknown-capacity store needed_slots"]
 
 
 def test_announced_targets_count_before_stated_ones() -> None:
-    """Guards against a drain that is accepted although the other zone's targets are not there."""
+    """Guards against accepting a drain that relies on stated targets that are not in service."""
     drain = objects.DrainOrder(name="work", reason="", zone=ZONES[0].name)
     entries = objects.sort_objects([SERVICE, *ZONES, drain])
     target = check.Target(
@@ -96,7 +96,7 @@
 
 
 def test_partitions_do_not_change_in_force() -> None:
-    """Guards against a key with one owner by its old partition and another by its new one."""
+    """Guards against a changed partition count, which gives a key an owner by each count."""
     before = objects.sort_objects([SERVICE, *ZONES])
     fewer = objects.Service(name=SERVICE.name, partitions=128)
     plain = objects.Service(name=SERVICE.name, is_keyed=False)
@@ -108,7 +108,7 @@
 
 
 def test_zone_is_drained_before_it_is_removed() -> None:
-    """Guards against a zone whose keys lose their owner because its object was deleted."""
+    """Guards against keys without an owner after the object of a zone in service was deleted."""
     before = objects.sort_objects([SERVICE, *ZONES])
     after = objects.sort_objects([SERVICE, ZONES[1]])
     assert [entry.name for entry in check.check_transition(before, after)] == ["north"]
@@ -122,7 +122,7 @@
 
 
 def test_service_is_removed_only_without_targets() -> None:
-    """Guards against a deleted file that silently refuses every request to a service."""
+    """Guards against refusing every request to a service because its file was deleted."""
     other = objects.Service(name=identity.ServiceId("other"))
     before = objects.sort_objects([SERVICE, other, *ZONES])
     after = objects.sort_objects([SERVICE, *ZONES])
@@ -136,7 +136,7 @@
 
 
 def test_narrowed_service_is_warned_of() -> None:
-    """Guards against callers who are refused more than before without a word to the operator."""
+    """Guards against publishing stricter limits for callers without a warning to the operator."""
     narrow = objects.Service(
         name=SERVICE.name, slots=4, deadline_ms=100, max_body_bytes=1, idempotent_methods=["GET"]
     )
--- a/tests/version/test_docs.py
+++ b/tests/version/test_docs.py
@@ -1,4 +1,4 @@
-"""Checks that the operators' pages agree with the code."""
+"""Tests that the pages for operators agree with the code."""
 
 import json
 import pathlib
@@ -16,14 +16,14 @@
 def show_default(field: msgspec.structs.FieldInfo) -> str:
     if field.required:
         return "required"
-    is_made = field.default is msgspec.NODEFAULT
-    value = field.default_factory() if is_made else field.default
+    has_factory = field.default is msgspec.NODEFAULT
+    value = field.default_factory() if has_factory else field.default
     return f"`{json.dumps(value)}`"
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_every_field_is_documented(kind: str) -> None:
-    """Guards against a field that is missing on the page, or has another default there."""
+    """Guards against a field that the page omits, or shows with another default."""
     section = (DOCS / "configuration.md").read_text().split(f"\n## {kind}\n")[1].split("\n## ")[0]
     lines = [line for line in section.splitlines() if line.startswith("| `")]
     rows = [[cell.strip() for cell in line.split("|")] for line in lines]
@@ -33,6 +33,6 @@
 
 
 def test_every_kind_of_finding_is_explained() -> None:
-    """Guards against an operator who cannot look up a refusal."""
+    """Guards against a kind of finding that the page for operators does not explain."""
     page = (DOCS / "OPERATIONS.md").read_text()
     assert [code for code in finding.Code if f"`{code.value}`" not in page] == []
--- a/tests/version/test_load.py
+++ b/tests/version/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of reading object files, with generated faults."""
+"""Tests of reading object files, also with generated faults."""
 
 import json
 import os
@@ -39,7 +39,7 @@
 @settings(derandomize=True, max_examples=150)
 @given(entries=st.lists(ENTRIES, max_size=3))
 def test_any_json_is_read_or_refused(entries: list[dict[str, typing.Any]]) -> None:
-    """Guards against an exception, or an accepted object that cannot be written and read again."""
+    """Guards against an exception, or an accepted object that cannot be encoded and decoded."""
     loaded = load.parse_files({"a.json": json.dumps(entries).encode()})
     accepted = loaded.map(lambda found: found.objects.objects).value_or([])
     assert len(accepted) == (0 if loaded.swap().value_or([]) else len(entries))
@@ -49,7 +49,7 @@
 
 
 def test_every_fault_of_every_file_is_reported() -> None:
-    """Guards against operators who find the next fault only after mending the first."""
+    """Guards against reporting only the first fault of a set of files."""
     bodies = {
         "a.json": b'{"kind": "Service", "name": "s", "slots": -1, "deadline_ms": "x", "y": 1}',
         "b.json": b'[{"kind": "Key"}, {"kind": "Service", "name": "s"}]',
@@ -66,7 +66,7 @@
 
 
 def test_hostile_files_are_refused() -> None:
-    """Guards against files that take unbounded memory, stack or time, and non-JSON numbers."""
+    """Guards against files that need unbounded memory, stack or time, and non-JSON numbers."""
     service = b'{"kind": "Service", "name": "s", "slots": %s}'
     cases = {
         b" " * (load.MAX_FILE_BYTES + 1): finding.Code.OVERSIZED,
@@ -82,13 +82,13 @@
 
 
 def test_brackets_in_strings_are_not_nesting() -> None:
-    """Guards against refusing a text that contains many brackets."""
+    """Guards against counting brackets inside strings as nesting."""
     body = b'{"kind": "AvailabilityZone", "name": "z", "region": "\\"%s"}' % (b"[{" * 40)
     assert list_codes({"a.json": body}) == []
 
 
 def test_like_fills_in_missing_fields() -> None:
-    """Guards against inherited fields that win over own ones, or are lost in a chain."""
+    """Guards against inherited fields that override stated ones, or are lost in a chain."""
     body = (
         b'[{"kind": "Service", "name": "a", "slots": 3, "deadline_ms": 50},'
         b' {"kind": "Service", "name": "b", "like": "a", "slots": 4},'
@@ -101,7 +101,7 @@
 
 
 def test_unreadable_files_are_refused(tmp_path: pathlib.Path) -> None:
-    """Guards against a named pipe that blocks the reader, and files that are skipped silently."""
+    """Guards against blocking on a named pipe, and skipping unreadable files silently."""
     os.mkfifo(tmp_path / "pipe.json")
     (tmp_path / "broken.json").symlink_to(tmp_path / "gone")
     (tmp_path / "notes.txt").write_text("not read")
--- a/tests/version/test_plan.py
+++ b/tests/version/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the preview that operators read before publishing."""
+"""Tests of the plan and preview that operators read before publishing."""
 
 import pathlib
 
@@ -6,7 +6,7 @@
 from ebonyvalve.version import check, load, objects, plan, preview, route
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
-NOTHING = objects.ObjectSet(objects=[])
+EMPTY_SET = objects.ObjectSet(objects=[])
 
 
 def read_set(*names: str) -> objects.ObjectSet:
@@ -18,7 +18,7 @@
 
 
 def test_drain_names_moves_loads_and_duration() -> None:
-    """Guards against a drain whose load on the other targets an operator is not told."""
+    """Guards against a plan of a drain that omits the load it adds to other targets."""
     built = build(read_set("andinaflota"), read_set("andinaflota", "andinaflota-drain"))
     lines = plan.render_plan(built)
     assert built.is_safe
@@ -31,14 +31,14 @@
 
 
 def test_return_states_the_slow_start() -> None:
-    """Guards against an operator who expects a returned zone to carry its share at once."""
+    """Guards against a plan that omits the slow start of targets after a drain has ended."""
     built = build(read_set("andinaflota", "andinaflota-drain"), read_set("andinaflota"))
     assert "zone quito-norte takes load gradually for 20 s or longer" in built.refused_meanwhile
 
 
 def test_unsafe_plan_says_why() -> None:
-    """Guards against a verdict that leaves the operator to find the reason."""
-    built = build(NOTHING, read_set("faulty/drain-too-few-slots"))
+    """Guards against a verdict that refuses a plan without naming the reason."""
+    built = build(EMPTY_SET, read_set("faulty/drain-too-few-slots"))
     assert not built.is_safe
     assert built.verdict == (
         "not safe to publish: DrainOrder work zone: only 20 of 30 slots of store would remain, "
@@ -47,26 +47,29 @@
 
 
 def test_equal_sets_and_removed_services() -> None:
-    """Guards against an empty publication, and a removed service that nobody mentions."""
-    whole = read_set("chambre-noire")
-    assert build(whole, whole).verdict == "nothing to publish: these objects are in force"
+    """Guards against publishing an unchanged set, and a plan that omits a removed service."""
+    all_objects = read_set("chambre-noire")
+    assert (
+        build(all_objects, all_objects).verdict == "nothing to publish: these objects are in force"
+    )
     rest = objects.sort_objects(
         entry
-        for entry in whole.objects
+        for entry in all_objects.objects
         if not (isinstance(entry, objects.Service) and entry.name == "archives")
     )
-    refused = build(whole, rest).refused_meanwhile
+    refused = build(all_objects, rest).refused_meanwhile
     assert refused == ["every request to archives is refused once the version is in force"]
 
 
 def test_preview_names_the_shards_of_the_drained_zone() -> None:
-    """Guards against a preview that differs from what placement does, or moves other shards."""
+    """Guards against a preview that names other shards than those of the drained zone."""
     before, after = read_set("chambre-noire"), read_set("chambre-noire", "chambre-noire-drain")
     targets = check.list_stated_targets(before)
     service = identity.ServiceId("calendrier")
     holders = [target for target in targets if target.service == service]
     shards = route.list_shards(route.build_snapshot(identity.ConfigVersion(1), before.objects))
-    # The rule permits the named key in this zone; from elsewhere it would move for the rule.
+    # A rule restricts the named key to this zone; with another owner it would move because of the
+    # rule.
     owners = {shard: holders[index % 6] for index, shard in enumerate(shards)}
     key = next(shard for shard in owners if identity.split_shard(shard)[2] is not None)
     owners[key] = next(target for target in holders if target.zone == "gaspe")
@@ -86,13 +89,13 @@
 
 
 def test_preview_passes_over_shards_that_are_not_configured() -> None:
-    """Guards against a failure of the tool when the nodes still report a removed service."""
-    whole = read_set("chambre-noire")
-    targets = check.list_stated_targets(whole)
+    """Guards against an exception when nodes still report the shards of a removed service."""
+    all_objects = read_set("chambre-noire")
+    targets = check.list_stated_targets(all_objects)
     owners: preview.Owners = {
         identity.ShardId("gone/7"): targets[0].node,
         identity.ShardId("gone/key:a"): None,
         identity.ShardId("calendrier/9999"): targets[0].node,
     }
-    impacts = preview.build_preview(targets, owners)(whole, whole)
+    impacts = preview.build_preview(targets, owners)(all_objects, all_objects)
     assert [impact.moving for impact in impacts] == [0, 0, 0]
