--- a/src/ebonyvalve/tool.py
+++ b/src/ebonyvalve/tool.py
@@ -1,6 +1,6 @@
-"""The operators' command line, ``ebonyvalve``.
+"""The command line tool for operators, ``ebonyvalve``.
 
-The commands only read, check and publish objects; none of them moves traffic.
+The commands only read, check and publish configuration objects; none of them moves traffic itself.
 """
 
 import collections.abc
@@ -30,18 +30,18 @@
 DEFAULT_SETTINGS = "ebonyvalve.json"
 DEFAULT_WAIT_S = 30.0
 DEFAULT_EVERY_S = 2.0
-# Each repetition asks every node; a shorter period would only load the nodes.
+# Each repetition sends a request to every node; a shorter period only adds load to the nodes.
 MIN_EVERY_S = 0.5
 DEFAULT_LAST = 20
 
 
 class ExitStatus(enum.IntEnum):
-    """What a command has come to."""
+    """The exit status of a command."""
 
     DONE = 0
     REFUSED = 1
     USAGE = 2
-    # Something did not answer, or it is not known whether a publication took effect.
+    # A node or the store did not answer, or it is not known whether a publication took effect.
     UNKNOWN = 3
 
 
@@ -52,7 +52,7 @@
     # The operator address of each node.
     nodes: dict[identity.NodeId, identity.Address] = {}
     timeout_s: typing.Annotated[float, msgspec.Meta(gt=0.0, le=600.0)] = 2.0
-    # Named in the history; the name of the system user when empty.
+    # The author shown in the history; the name of the system user if empty.
     author: str = ""
     tls: settings.Tls | None = None
 
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Environment:
-    """The outside world of the command line: the real one, or that of a test."""
+    """The input and output of the command line, which tests replace."""
 
     connect: collections.abc.Callable[[ToolSettings], network.Connect]
     open_platform: OpenPlatform
@@ -77,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Session:
-    """What one command works with."""
+    """The environment, settings and connections of one command."""
 
     environment: Environment
     settings: ToolSettings
@@ -101,7 +101,7 @@
 
 
 class PublishReport(msgspec.Struct, kw_only=True, frozen=True):
-    """The JSON output of ``publish``. ``lagging`` lists nodes without the version."""
+    """The JSON output of ``publish``. ``lagging`` lists the nodes that lack the version."""
 
     plan: plan.Plan
     published: publish.Published | None = None
@@ -124,14 +124,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class MeshView:
-    """The statuses of the nodes that answered, and the causes of the others' silence."""
+    """The statuses of the nodes that answered, and for the others why they did not."""
 
     statuses: list[report.Status]
     silent: list[report.NodeVersion]
 
 
 def open_environment() -> Environment:
-    """Return the real outside world."""
+    """Return the environment with the real network, clock and terminal."""
     return Environment(
         connect=_open_connect,
         open_platform=_open_platform,
@@ -149,7 +149,7 @@
     try:
         sys.stdout.flush()
     except BrokenPipeError:
-        # The interpreter flushes again at exit and would print a stack trace.
+        # The interpreter flushes stdout again at exit, which would print a stack trace.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     sys.exit(status)
 
@@ -158,7 +158,7 @@
     """Run one command and return its exit status.
 
     :param arguments: the arguments after the program's name.
-    :param environment: the outside world.
+    :param environment: the input and output of the command line.
     """
     try:
         return int(
@@ -173,10 +173,10 @@
     except SystemExit as error:
         return error.code if isinstance(error.code, int) else ExitStatus.USAGE
     except BaseException as error:
-        if _holds(error, KeyboardInterrupt):
+        if _contains(error, KeyboardInterrupt):
             environment.write_error("interrupted")
-        # After a broken pipe the reader of the output has gone; there is nobody to tell.
-        elif not _holds(error, BrokenPipeError):
+        # After a broken pipe nobody reads the output, so the error is not reported.
+        elif not _contains(error, BrokenPipeError):
             environment.write_error(f"internal error: {type(error).__name__}: {error}")
         return ExitStatus.UNKNOWN
 
@@ -184,7 +184,7 @@
 def build_commands(environment: Environment) -> Commands:
     """Return the commands by name.
 
-    :param environment: the outside world.
+    :param environment: the input and output of the command line.
     """
 
     def check_command(
@@ -254,14 +254,14 @@
         if bool(directory) == (from_version > 0):
             environment.write_error("publish takes either a directory or --from VERSION")
             return ExitStatus.USAGE
-        request = PublishArguments(
+        arguments = PublishArguments(
             directories=[directory, *add] if directory else [],
             from_version=identity.ConfigVersion(from_version),
             base=None if base < 0 else identity.ConfigVersion(base),
             note=note or (f"again version {from_version}" if from_version else ""),
             wait_s=wait_s,
         )
-        action = _use_platform(lambda session, services: _publish(session, services, request))
+        action = _use_platform(lambda session, services: _publish(session, services, arguments))
         return _start(environment, settings, json, action)
 
     def status_command(
@@ -282,7 +282,7 @@
         try:
             return _start(environment, settings, json, lambda session: _status(session, every))
         except BaseException as error:
-            if watch and _holds(error, KeyboardInterrupt):
+            if watch and _contains(error, KeyboardInterrupt):
                 return ExitStatus.DONE
             raise
 
@@ -322,7 +322,7 @@
 
         :param seconds: stop after this time; the status is 0 only when every answer was right.
         """
-        # Only the demo needs the daemon's modules.
+        # Imported here because only the demo needs the daemon's modules.
         mesh = importlib.import_module("ebonyvalve.process.demo")
         try:
             return int(trio.run(mesh.run, seconds))
@@ -351,22 +351,22 @@
     wait_s: float
 
 
-def _open_connect(chosen: ToolSettings) -> network.Connect:
-    if chosen.tls is None:
+def _open_connect(tool_settings: ToolSettings) -> network.Connect:
+    if tool_settings.tls is None:
         return network.connect_tcp
-    tls = chosen.tls
+    tls = tool_settings.tls
     context = network.build_context(tls.certificate, tls.key, tls.authority, is_server=False)
     return network.build_tls_connect(context)
 
 
 def _open_platform(
-    chosen: ToolSettings,
+    tool_settings: ToolSettings,
 ) -> contextlib.AbstractAsyncContextManager[platform.Platform]:
-    # Commands that need no platform work without its client.
+    # Imported here so that commands that need no platform work without its client.
     remote = importlib.import_module("ebonyvalve.process.remote")
-    host, port = network.split_address(chosen.platform_address)
+    host, port = network.split_address(tool_settings.platform_address)
     opened: contextlib.AbstractAsyncContextManager[platform.Platform] = remote.open_client(
-        host=host, port=port, timeout_s=chosen.timeout_s
+        host=host, port=port, timeout_s=tool_settings.timeout_s
     )
     return opened
 
@@ -381,15 +381,15 @@
     return act
 
 
-def _holds(error: BaseException, kind: type[BaseException]) -> bool:
+def _contains(error: BaseException, kind: type[BaseException]) -> bool:
     if isinstance(error, BaseExceptionGroup):
-        return any(_holds(inner, kind) for inner in error.exceptions)
+        return any(_contains(inner, kind) for inner in error.exceptions)
     return isinstance(error, kind)
 
 
-def _find_author(chosen: ToolSettings) -> str:
-    if chosen.author:
-        return chosen.author
+def _find_author(tool_settings: ToolSettings) -> str:
+    if tool_settings.author:
+        return tool_settings.author
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -402,33 +402,33 @@
     :param path: the settings file.
     """
     try:
-        chosen = msgspec.json.decode(path.read_bytes(), type=ToolSettings)
+        tool_settings = msgspec.json.decode(path.read_bytes(), type=ToolSettings)
     except OSError as error:
         return result.Failure(f"{path}: {error.strerror}; name the settings file with --settings")
     except (msgspec.MsgspecError, RecursionError) as error:
         return result.Failure(f"{path}: {error}")
-    addresses = {"platform_address": chosen.platform_address}
-    addresses |= {f"nodes.{node}": address for node, address in chosen.nodes.items()}
+    addresses = {"platform_address": tool_settings.platform_address}
+    addresses |= {f"nodes.{node}": address for node, address in tool_settings.nodes.items()}
     for field, address in addresses.items():
         host, _, port = address.rpartition(":")
         if not host or not port.isdecimal() or not 0 < int(port) < 65536:
             return result.Failure(f"{path}: {field}: {address!r} is not of the form IP:port")
-    return result.Success(chosen)
+    return result.Success(tool_settings)
 
 
 def _start(environment: Environment, path: str, is_json: bool, action: Action) -> int:
-    chosen = read_settings(pathlib.Path(path))
-    if not isinstance(chosen, result.Success):
-        environment.write_error(chosen.failure())
+    read = read_settings(pathlib.Path(path))
+    if not isinstance(read, result.Success):
+        environment.write_error(read.failure())
         return ExitStatus.USAGE
     try:
-        connect = environment.connect(chosen.unwrap())
+        connect = environment.connect(read.unwrap())
     except OSError as error:
         environment.write_error(f"{path}: tls: {error.strerror or error}")
         return ExitStatus.USAGE
     session = Session(
         environment=environment,
-        settings=chosen.unwrap(),
+        settings=read.unwrap(),
         connect=connect,
         clock=timer.Timer(clock=environment.clock),
         is_json=is_json,
@@ -445,10 +445,10 @@
 
 
 def _emit(session: Session, value: msgspec.Struct, lines: collections.abc.Iterable[str]) -> None:
-    _emit_either(session.environment, value, lines, is_json=session.is_json)
+    _emit_to(session.environment, value, lines, is_json=session.is_json)
 
 
-def _emit_either(
+def _emit_to(
     environment: Environment,
     value: msgspec.Struct,
     lines: collections.abc.Iterable[str],
@@ -463,7 +463,7 @@
 
 
 def _fail(session: Session, cause: str) -> ExitStatus:
-    """Report that something did not answer."""
+    """Report that the command failed because a node or the store did not answer."""
     if session.is_json:
         session.environment.write(json.dumps({"error": cause}))
     else:
@@ -484,7 +484,7 @@
     summary = f"{verdict}, {_count(warnings, 'warning')}"
     lines = [*(finding.render(entry) for entry in found), summary]
     value = CheckReport(is_accepted=not refusals, findings=found)
-    _emit_either(environment, value, lines, is_json=is_json)
+    _emit_to(environment, value, lines, is_json=is_json)
     return ExitStatus.REFUSED if refusals else ExitStatus.DONE
 
 
@@ -556,12 +556,12 @@
 
 
 async def _publish(
-    session: Session, services: platform.Platform, request: PublishArguments
+    session: Session, services: platform.Platform, arguments: PublishArguments
 ) -> ExitStatus:
     head = await publish.read_head(services.table)
     if not isinstance(head, result.Success):
         return _fail(session, f"nothing was published: {head.failure()}")
-    chosen = await _choose_objects(session, services, request)
+    chosen = await _choose_objects(session, services, arguments)
     if isinstance(chosen, ExitStatus):
         return chosen
     built = await _build_plan(session, services, head.unwrap(), chosen.objects, chosen.files)
@@ -574,29 +574,31 @@
         if session.is_json:
             _emit(session, PublishReport(plan=planned), [])
         return ExitStatus.DONE if planned.is_safe else ExitStatus.REFUSED
-    order = publish.PublishRequest(
+    publish_request = publish.PublishRequest(
         body=objects.encode_body(chosen.objects),
-        base=planned.base if request.base is None else request.base,
+        base=planned.base if arguments.base is None else arguments.base,
         author=_find_author(session.settings),
-        note=request.note,
+        note=arguments.note,
         at=session.environment.read_time().isoformat(timespec="seconds"),
         publication=session.environment.draw_id(),
     )
     if not session.is_json:
-        # Whoever interrupts the command can find the entry in the history by this id.
-        session.environment.write(f"publishing as {order.publication} by {order.author}")
-    published = await publish.publish(services, order, session.clock)
+        # If the command is interrupted, the entry can be found in the history by this id.
+        session.environment.write(
+            f"publishing as {publish_request.publication} by {publish_request.author}"
+        )
+    published = await publish.publish(services, publish_request, session.clock)
     if not session.is_json:
         _emit(session, published, [published.cause, *published.differences])
     lagging: list[report.NodeVersion] = []
-    if published.state is publish.State.ACCEPTED and request.wait_s > 0:
-        lagging = await _wait(session, published.version, request.wait_s)
+    if published.state is publish.State.ACCEPTED and arguments.wait_s > 0:
+        lagging = await _wait(session, published.version, arguments.wait_s)
     if session.is_json:
         _emit(session, PublishReport(plan=planned, published=published, lagging=lagging), [])
-    return _judge_publication(published.state, lagging)
+    return _find_exit_status(published.state, lagging)
 
 
-def _judge_publication(state: publish.State, lagging: list[report.NodeVersion]) -> ExitStatus:
+def _find_exit_status(state: publish.State, lagging: list[report.NodeVersion]) -> ExitStatus:
     if state is publish.State.CONFLICT:
         return ExitStatus.REFUSED
     if state is publish.State.ACCEPTED and not lagging:
@@ -605,19 +607,19 @@
 
 
 async def _choose_objects(
-    session: Session, services: platform.Platform, request: PublishArguments
+    session: Session, services: platform.Platform, arguments: PublishArguments
 ) -> load.Loaded | ExitStatus:
-    if request.directories:
-        loaded = _load(request.directories)
+    if arguments.directories:
+        loaded = _load(arguments.directories)
         if not isinstance(loaded, result.Success):
             return _report_check(session.environment, loaded.failure(), is_json=session.is_json)
         read_from_files: load.Loaded = loaded.unwrap()
         return read_from_files
-    entry = await publish.read_version(services.table, request.from_version)
+    entry = await publish.read_version(services.table, arguments.from_version)
     if not isinstance(entry, result.Success):
         return _fail(session, f"nothing was published: {entry.failure()}")
     if entry.unwrap() is None:
-        session.environment.write_error(f"there is no version {request.from_version}")
+        session.environment.write_error(f"there is no version {arguments.from_version}")
         return ExitStatus.REFUSED
     read = await publish.read_objects(services.objects, entry.unwrap())
     if not isinstance(read, result.Success):
@@ -675,7 +677,7 @@
 
 
 async def _fetch_view(session: Session) -> MeshView:
-    """Ask every node for its status at the same time."""
+    """Fetch the status of every node concurrently."""
     found: dict[identity.NodeId, result.Result[report.Status, str]] = {}
 
     async def ask(node: identity.NodeId, address: identity.Address) -> None:
@@ -700,7 +702,7 @@
 
 
 def find_authoritative_status(view: MeshView) -> report.Status | None:
-    """Return the status that knows most: that of the coordinator of the highest term.
+    """Return the most authoritative status: that of the coordinator in the highest term.
 
     :param view: the statuses.
     """
@@ -727,7 +729,7 @@
 
 
 def _find_preview(view: MeshView) -> plan.PreviewFunction | None:
-    """Return a preview by placement if the owners of the shards are known."""
+    """Return a preview function that simulates placement, if the owners of the shards are known."""
     best, targets = find_authoritative_status(view), list_targets(view)
     if best is None or not targets or not best.shards:
         return None
@@ -738,9 +740,9 @@
 def list_versions(view: MeshView) -> list[report.NodeVersion]:
     """Return the configuration version in force at every node.
 
-    VMs are replaced at any time, so the settings may list nodes that are gone and lack new ones.
-    The coordinator knows the members. A node that is none has no lease and serves nothing, so its
-    silence does not matter.
+    VMs are replaced at any time, so the settings may list nodes that no longer exist and lack new
+    ones. The coordinator knows the members. A node that is not a member has no lease and serves no
+    requests, so it does not matter if it does not answer.
 
     :param view: the statuses.
     """
--- a/src/ebonyvalve/version/diagnostics.py
+++ b/src/ebonyvalve/version/diagnostics.py
@@ -1,4 +1,4 @@
-"""What a node tells operators of the mesh and of single keys, under the configuration in force."""
+"""Builds a node's answers to operators: readiness, status of the mesh, and routing of a key."""
 
 import collections
 import collections.abc
@@ -17,12 +17,12 @@
 )
 from ebonyvalve.version import route
 
-# A lease that never ends, as in a test, is shown with this time.
+# Upper bound of the remaining lease time that is shown. Tests use leases that never end.
 MAX_LEASE_LEFT_S = 3600.0
 
 
 def list_obstacles(here: site.Site, snapshot: route.Snapshot | None) -> list[str]:
-    """Return why the node cannot serve at present; empty when it can.
+    """Return the reasons why the node cannot serve at present; empty when it can.
 
     :param here: the node's state.
     :param snapshot: the configuration in force.
@@ -44,7 +44,7 @@
 def build_status(
     here: site.Site,
     snapshot: route.Snapshot | None,
-    owned: ownership.State,
+    ownership_state: ownership.State,
     *,
     does_store_answer: bool,
 ) -> report.Status:
@@ -52,23 +52,25 @@
 
     :param here: the node's state.
     :param snapshot: the configuration in force.
-    :param owned: the state of ownership.
-    :param does_store_answer: whether the table service answers at present.
+    :param ownership_state: the state of ownership.
+    :param does_store_answer: whether the table service responds at present.
     """
     node = here.read_node()
-    left_s = node.lease_end_s - here.now()
+    lease_left_s = node.lease_end_s - here.now()
     return report.Status(
         node=here.node,
         zone=here.zone,
         incarnation=here.incarnation,
-        role=telemetry.find_role(owned, here.now()),
+        role=telemetry.find_role(ownership_state, here.now()),
         coordinator=node.coordinator,
         term=node.term,
-        lease=_find_lease(node, left_s),
-        lease_left_ms=int(min(max(left_s, 0.0), MAX_LEASE_LEFT_S) * 1000),
+        lease=_find_lease(node, lease_left_s),
+        lease_left_ms=int(min(max(lease_left_s, 0.0), MAX_LEASE_LEFT_S) * 1000),
         config_version=node.config_version,
         does_store_answer=does_store_answer,
-        targets=[_describe_target(here, member, owned) for member in node.members.values()],
+        targets=[
+            _describe_target(here, member, ownership_state) for member in node.members.values()
+        ],
         zones=_list_zones(node, snapshot),
         shards=[
             report.Shard(shard=entry.shard, owner=entry.owner, fence=entry.fence)
@@ -78,22 +80,22 @@
     )
 
 
-def _find_lease(node: lease.Node, left_s: float) -> report.LeaseState:
-    if left_s > 0:
+def _find_lease(node: lease.Node, lease_left_s: float) -> report.LeaseState:
+    if lease_left_s > 0:
         return report.LeaseState.HELD
     never = node.lease_end_s == float("-inf")
     return report.LeaseState.NEVER if never else report.LeaseState.LAPSED
 
 
 def _describe_target(
-    here: site.Site, member: message.Member, owned: ownership.State
+    here: site.Site, member: message.Member, ownership_state: ownership.State
 ) -> report.Target:
     book = here.books[member.service]
     latency = book.targets.get(member.node)
     is_here = member.node == here.node
     version = None
-    if owned.leadership is not None:
-        version = owned.leadership.config_versions.get(member.node)
+    if ownership_state.leadership is not None:
+        version = ownership_state.leadership.config_versions.get(member.node)
     return report.Target(
         node=member.node,
         zone=member.zone,
@@ -158,19 +160,21 @@
 def explain(
     here: site.Site,
     snapshot: route.Snapshot | None,
-    owned: ownership.State,
+    ownership_state: ownership.State,
     service: identity.ServiceId,
     key: identity.KeyId,
     choose_route: ChooseRoute,
 ) -> report.Explanation | None:
-    """Return who owns a key, why, and how a request for it would be routed now.
+    """Return who owns a key and why, and how a request for it would be routed now.
+
+    The result is ``None`` without a configuration or when it lacks the service.
 
     :param here: the node's state.
     :param snapshot: the configuration in force.
-    :param owned: the state of ownership.
+    :param ownership_state: the state of ownership.
     :param service: the service.
     :param key: the key.
-    :param choose: returns the routing decision, the node it names, and its reason.
+    :param choose_route: returns the routing decision, the node it names, and its reason.
     """
     found = None if snapshot is None else snapshot.services.get(service)
     if snapshot is None or found is None:
@@ -180,9 +184,9 @@
     entry = None if shard is None else node.routes.get(shard)
     owner = None if entry is None or entry.owner == lease.NOBODY else entry.owner
     kind, route_node, reason = choose_route(service, key)
-    # Only the coordinator knows since when and why.
-    causes = {} if owned.leadership is None else owned.leadership.last_moves
-    since = None if shard is None else causes.get(shard)
+    # Only the coordinator knows the time and cause of the last change of owner.
+    causes = {} if ownership_state.leadership is None else ownership_state.leadership.last_moves
+    last_change = None if shard is None else causes.get(shard)
     refusals = list_obstacles(here, snapshot)
     if reason != "none":
         refusals.append(f"the request would be held or refused: {reason}")
@@ -200,17 +204,17 @@
         rules=[
             rule.name
             for rule in snapshot.rules.values()
-            if rule.service == service and _applies(snapshot, rule.keys, key)
+            if rule.service == service and _rule_applies(snapshot, rule.keys, key)
         ],
-        owned_for_s=None if since is None else here.now() - since[0],
-        cause="" if since is None else since[1],
+        owned_for_s=None if last_change is None else here.now() - last_change[0],
+        cause="" if last_change is None else last_change[1],
         route=kind,
         route_node=route_node,
         refusals=refusals,
     )
 
 
-def _applies(snapshot: route.Snapshot, names: list[str], key: identity.KeyId) -> bool:
+def _rule_applies(snapshot: route.Snapshot, names: list[str], key: identity.KeyId) -> bool:
     if not names:
         return True
     return any(name in snapshot.keys and snapshot.keys[name].key == key for name in names)
--- a/src/ebonyvalve/version/publish.py
+++ b/src/ebonyvalve/version/publish.py
@@ -1,4 +1,4 @@
-"""Publishes configurations: the head, the history, and the wait until a version is in force."""
+"""Publishes configurations, reads their history, and waits until a version is in force."""
 
 import collections.abc
 import dataclasses
@@ -12,19 +12,20 @@
 
 HEAD_KEY = "config/head"
 LOG_PREFIX = "config/log/"
-# With the pause, a store that is down for a few seconds does not leave the outcome unknown.
+# The attempts span a few seconds, so that a store that is down for this long does not leave the
+# outcome unknown.
 MAX_ATTEMPTS = 8
 RETRY_INTERVAL_S = 0.5
-# A heartbeat is due every 150 ms; asking more often shows nothing new.
+# Nodes send a heartbeat every 150 ms, so polling more often than that shows nothing new.
 PROGRESS_INTERVAL_S = 0.25
 MAX_LISTED = 20
 
 
 class Entry(msgspec.Struct, kw_only=True, frozen=True):
-    """The head row and the rows of the history.
+    """One published version, as stored in the head row and in a row of the history.
 
-    ``at`` is UTC in ISO 8601. ``publication`` is drawn at random for each attempt to publish, so
-    that its author recognises the entry although the reply was lost.
+    ``at`` is the time in UTC, in ISO 8601. ``publication`` is a random id for each call of the
+    publish command, by which its author recognises the entry if the reply was lost.
     """
 
     version: identity.ConfigVersion
@@ -36,18 +37,18 @@
 
 
 class State(enum.Enum):
-    """What became of a publication."""
+    """The outcome of a publication."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
     UNAVAILABLE = "unavailable"
-    # The write may yet take effect. Its author finds out from the history.
+    # The write may still take effect. The history shows whether it did.
     UNKNOWN = "unknown"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PublishRequest:
-    """A request to publish the objects in ``body``, planned on version ``base``."""
+    """A request to publish the objects in ``body``; its plan is based on version ``base``."""
 
     body: bytes
     base: identity.ConfigVersion
@@ -58,10 +59,10 @@
 
 
 class Published(msgspec.Struct, kw_only=True, frozen=True):
-    """The outcome of a publication.
+    """The result of a publication.
 
-    ``other`` is the entry that a conflicting publication has written, and ``differences`` what it
-    changed compared with the base and with the refused objects.
+    In a conflict, ``other`` is the entry of the other publication, and ``differences`` lists its
+    changes from the base, or from the refused objects if the base cannot be read.
     """
 
     state: State
@@ -73,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Head:
-    """The entry in force, and the row version that a conditional write must expect."""
+    """The entry in force, and the version of the head row that a conditional write expects."""
 
     entry: Entry | None
     row_version: int
@@ -85,7 +86,7 @@
 
 
 def name_log_row(version: int) -> str:
-    """Return the table key of a version's row in the history.
+    """Return the table key of a version's history row.
 
     :param version: the version.
     """
@@ -163,8 +164,8 @@
     """Publish a checked set of objects with one conditional write.
 
     :param services: the platform.
-    :param order: what to publish, and the version that it was planned on.
-    :param clock: the timer that spaces repeated attempts.
+    :param request: what to publish, and the version that the plan is based on.
+    :param clock: the timer for the pauses between attempts.
     """
     head = await read_head(services.table)
     if not isinstance(head, result.Success):
@@ -180,7 +181,7 @@
         at=request.at,
         publication=request.publication,
     )
-    # The body goes first: a head without its body could not come into force anywhere.
+    # The body is written first, because no node can adopt a head whose body is missing.
     if not await _put_body(services.objects, entry.digest, request.body, clock):
         return _fail(request, "nothing was published: the object store does not answer")
     return await _commit_entry(services, request, entry, found.row_version, clock)
@@ -198,20 +199,20 @@
 
     :param version: the version.
     :param fetch: returns the version in force at every node.
-    :param progress: called with the number of nodes that have it, the number of nodes, and those
-        that lag, whenever these change.
+    :param progress: called with the number of nodes that have the version, the number of nodes, and
+        the nodes that lag, whenever the names of the latter change.
     :param clock: the timer.
-    :param within_s: seconds after which the nodes that lag are returned.
+    :param within_s: the time limit in seconds, after which the nodes that still lag are returned.
     """
     end_at = timer.now(clock) + within_s
-    shown: list[str] | None = None
+    shown_names: list[str] | None = None
     while True:
         nodes = await fetch()
         lagging = [node for node in nodes if node.version is None or node.version < version]
-        names = [node.node for node in lagging]
-        if names != shown:
+        lagging_names = [node.node for node in lagging]
+        if lagging_names != shown_names:
             progress(len(nodes) - len(lagging), len(nodes), lagging)
-            shown = list(names)
+            shown_names = list(lagging_names)
         if not lagging or timer.now(clock) >= end_at:
             return lagging
         await timer.wait_until(clock, min(timer.now(clock) + PROGRESS_INTERVAL_S, end_at))
@@ -241,8 +242,8 @@
     return decoding.decode(value, Entry).alt(lambda fault: f"{key} holds no valid entry: {fault}")
 
 
-def _fail(order: PublishRequest, cause: str) -> Published:
-    return Published(state=State.UNAVAILABLE, version=order.base, cause=cause)
+def _fail(request: PublishRequest, cause: str) -> Published:
+    return Published(state=State.UNAVAILABLE, version=request.base, cause=cause)
 
 
 async def _put_body(
@@ -251,7 +252,7 @@
     for attempt in range(MAX_ATTEMPTS):
         if attempt:
             await timer.wait_until(clock, timer.now(clock) + RETRY_INTERVAL_S)
-        # Writing a body again under its own digest changes nothing.
+        # Writing the same body under its digest again is idempotent.
         if isinstance(await store.put(digest, body), result.Success):
             return True
     return False
@@ -259,16 +260,16 @@
 
 async def _commit_entry(
     services: platform.Platform,
-    order: PublishRequest,
+    request: PublishRequest,
     entry: Entry,
     row_version: int,
     clock: timer.Timer,
 ) -> Published:
-    """Commit until the outcome is known.
+    """Commit an entry, and repeat the attempt until the outcome is known.
 
-    Every attempt expects the same row versions, so at most one of them takes effect, even if an
-    earlier one arrives late. The row of the history is written together with the head and never
-    again, so it tells whose publication took effect.
+    Every attempt expects the same row versions, so at most one takes effect, even if an earlier one
+    reaches the store late. The history row is written together with the head row and never again,
+    so it shows whose publication took effect.
     """
     value = msgspec.json.encode(entry)
     log_key = name_log_row(entry.version)
@@ -284,13 +285,13 @@
         if not isinstance(written, result.Success):
             continue
         other = written.unwrap()
-        if other is not None and _is_same(other, entry):
+        if other is not None and _is_same_publication(other, entry):
             return _accept(entry, "; the reply was lost, and the entry was found in the history")
         if other is not None:
-            return await _explain_conflict(services, order, other)
+            return await _explain_conflict(services, request, other)
         if state is platform.CommitState.CONFLICT:
             cause = "refused: the head was changed outside the history; nothing was published"
-            return Published(state=State.CONFLICT, version=order.base, cause=cause)
+            return Published(state=State.CONFLICT, version=request.base, cause=cause)
     cause = (
         f"it is not known whether version {entry.version} was published: the table service does "
         f"not answer; look for publication {entry.publication} in the history before trying again"
@@ -298,7 +299,7 @@
     return Published(state=State.UNKNOWN, version=entry.version, cause=cause)
 
 
-def _is_same(left: Entry, right: Entry) -> bool:
+def _is_same_publication(left: Entry, right: Entry) -> bool:
     return (left.publication, left.digest, left.author) == (
         right.publication,
         right.digest,
@@ -315,13 +316,13 @@
 
 
 async def _explain_conflict(
-    services: platform.Platform, order: PublishRequest, other: Entry | None
+    services: platform.Platform, request: PublishRequest, other: Entry | None
 ) -> Published:
     if other is None:
-        cause = f"refused: planned on version {order.base}, but no version is in force"
-        return Published(state=State.CONFLICT, version=order.base, cause=cause)
+        cause = f"refused: planned on version {request.base}, but no version is in force"
+        return Published(state=State.CONFLICT, version=request.base, cause=cause)
     cause = (
-        f"refused: planned on version {order.base}, but {other.author} published version "
+        f"refused: planned on version {request.base}, but {other.author} published version "
         f"{other.version} at {other.at} ({other.note or 'no note'}); nothing of yours was "
         "published; merge the changes below and plan again"
     )
@@ -330,29 +331,33 @@
         version=other.version,
         cause=cause,
         other=other,
-        differences=await _list_differences(services, order, other),
+        differences=await _list_differences(services, request, other),
     )
 
 
 async def _list_differences(
-    services: platform.Platform, order: PublishRequest, other: Entry
+    services: platform.Platform, request: PublishRequest, other: Entry
 ) -> list[str]:
-    theirs = await read_objects(services.objects, other)
-    mine = objects.decode_body(order.body)
-    if not (isinstance(theirs, result.Success) and isinstance(mine, result.Success)):
+    other_objects = await read_objects(services.objects, other)
+    own_objects = objects.decode_body(request.body)
+    if not (isinstance(other_objects, result.Success) and isinstance(own_objects, result.Success)):
         return ["what differs is not known: the objects cannot be read at present"]
-    base = await _read_base(services, order.base)
+    base = await _read_base(services, request.base)
     if base is None:
-        changes = plan.diff_objects(mine.unwrap(), theirs.unwrap())
-        return _shorten([f"in force, unlike yours: {plan.render_change(one)}" for one in changes])
-    changes = plan.diff_objects(base, theirs.unwrap())
-    own = {(one.kind, one.name) for one in plan.diff_objects(base, mine.unwrap())}
+        changes = plan.diff_objects(own_objects.unwrap(), other_objects.unwrap())
+        return _truncate(
+            [f"in force, unlike yours: {plan.render_change(change)}" for change in changes]
+        )
+    changes = plan.diff_objects(base, other_objects.unwrap())
+    own_changes = {
+        (change.kind, change.name) for change in plan.diff_objects(base, own_objects.unwrap())
+    }
     lines = [
-        f"{other.author}: {plan.render_change(one)}"
-        + (" (you change it too)" if (one.kind, one.name) in own else "")
-        for one in changes
+        f"{other.author}: {plan.render_change(change)}"
+        + (" (you change it too)" if (change.kind, change.name) in own_changes else "")
+        for change in changes
     ]
-    return _shorten(lines) or ["the objects in force are the same as those planned on"]
+    return _truncate(lines) or ["the objects in force are the same as those planned on"]
 
 
 async def _read_base(
@@ -366,7 +371,7 @@
     return (await read_objects(services.objects, entry.unwrap())).value_or(None)
 
 
-def _shorten(lines: list[str]) -> list[str]:
+def _truncate(lines: list[str]) -> list[str]:
     if len(lines) <= MAX_LISTED:
         return lines
     return [*lines[:MAX_LISTED], f"and {len(lines) - MAX_LISTED} more changes"]
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -25,11 +25,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class World:
-    """The stand-in for platform, nodes and terminal."""
+    """Simulated platform, nodes and terminal."""
 
     directory: pathlib.Path
     memory: platform.Memory = dataclasses.field(default_factory=platform.Memory)
-    # Nodes that never take up a new version, and nodes that do not answer.
+    # Nodes that never adopt a new version, and nodes that do not answer.
     stuck: set[str] = dataclasses.field(default_factory=set)
     silent: set[str] = dataclasses.field(default_factory=set)
     coordinator: str = "n2"
@@ -131,7 +131,7 @@
 
 
 def test_exit_statuses_without_network(world: World) -> None:
-    """Guards against scripts that take a refusal, or wrong usage, for success."""
+    """Guards against a successful exit status after a refusal or a usage error."""
     faulty = str(EXAMPLES / "faulty" / "two-owners-rules")
     assert run(world, "check", ANDINAFLOTA) == 0
     assert world.output == ["accepted, 0 warnings"]
@@ -148,7 +148,7 @@
 
 
 def test_plan_publish_and_history(world: World) -> None:
-    """Guards against a command that reports another version than the store holds."""
+    """Guards against a command that reports a version other than the one in the store."""
     assert run(world, "plan", ANDINAFLOTA) == 0
     assert world.output[-1] == "safe to publish"
     assert run(world, "publish", ANDINAFLOTA, "--note", "first") == 0
@@ -169,7 +169,7 @@
 
 
 def test_publish_names_the_nodes_that_lag(world: World) -> None:
-    """Guards against success while a node serves an older version."""
+    """Guards against reporting success while a node still has an older version."""
     world.stuck = {"n1"}
     world.silent = {"n3"}
     world.coordinator = ""
@@ -181,7 +181,7 @@
 
 
 def test_members_count_and_not_the_settings(world: World) -> None:
-    """Guards against waiting for a replaced VM, and passing over the one in its place."""
+    """Guards against waiting for a VM that was replaced, and not for its replacement."""
     world.silent = {"n3"}
     world.targets = [
         report.Target(
@@ -200,7 +200,7 @@
 
 
 def test_publish_refuses_a_stale_plan(world: World) -> None:
-    """Guards against publishing over a version that the operator has not seen."""
+    """Guards against replacing a version that was published after the operator's plan."""
     assert run(world, "publish", ANDINAFLOTA) == 0
     assert run(world, "publish", ANDINAFLOTA, "--add", DRAIN, "--base", "0") == 1
     assert any("ana published version 1" in line for line in world.output)
@@ -208,7 +208,7 @@
 
 
 def test_targets_seen_by_the_nodes_decide(world: World) -> None:
-    """Guards against a drain that is called safe although the remaining targets are down."""
+    """Guards against accepting a drain although the remaining targets are down."""
     assert run(world, "publish", ANDINAFLOTA) == 0
     world.targets = [
         report.Target(
@@ -229,7 +229,7 @@
 
 
 def test_silence_is_not_success(world: World) -> None:
-    """Guards against exit status 0, or a stack trace, when nothing answers."""
+    """Guards against exit status 0, or a stack trace, when the store or all nodes do not answer."""
     world.memory.is_down = True
     for command in (["plan", ANDINAFLOTA], ["publish", ANDINAFLOTA], ["history"]):
         assert run(world, *command) == 3
@@ -251,7 +251,7 @@
 
 
 def test_status_and_explain(world: World) -> None:
-    """Guards against a silent node that is left out, and keys that are not encoded in the path."""
+    """Guards against omitting a node that does not answer, and keys not encoded in the path."""
     world.silent = {"n1"}
     assert run(world, "status") == 0
     assert world.output[-1] == "node n1: no answer from 127.0.0.1:1: unreachable"
--- a/tests/version/test_outlook.py
+++ b/tests/version/test_impact.py
@@ -1,4 +1,4 @@
-"""What operators are told before a zone is evacuated or weights change."""
+"""Tests of the predicted effect of an evacuation and of changed service weights."""
 
 import collections.abc
 
@@ -31,8 +31,8 @@
 
 def build_survey(peers: collections.abc.Sequence[survey.Peer], *, is_keyed: bool) -> survey.Survey:
     candidates = [
-        ledger.Candidate(node=one.member.node, lifetime=one.member.lifetime, weight=1)
-        for one in peers
+        ledger.Candidate(node=peer.member.node, lifetime=peer.member.lifetime, weight=1)
+        for peer in peers
     ]
     return survey.Survey(
         node=identity.NodeId("a"),
@@ -53,20 +53,24 @@
 
 
 def test_keys_that_would_move_are_named() -> None:
-    """Each range and its next holder; the sum is all that the zone holds."""
-    found = impact.predict_evacuation(build_survey(PEERS, is_keyed=True), identity.ZoneId("z2"))
-    assert found.reasons == []
-    moves = [line for line in found.changes if " keys " in line and " from c " in line]
+    """Guards against a prediction that omits a range of keys, its next owner or a target's gain."""
+    prediction = impact.predict_evacuation(
+        build_survey(PEERS, is_keyed=True), identity.ZoneId("z2")
+    )
+    assert prediction.reasons == []
+    moves = [line for line in prediction.changes if " keys " in line and " from c " in line]
     assert moves
-    gains = [line for line in found.changes if line.startswith("target")]
+    gains = [line for line in prediction.changes if line.startswith("target")]
     assert sum(int(line.rpartition("-> ")[2]) for line in gains) == identity.LAST_SLOT + 1
 
 
 def test_load_that_would_move_is_named() -> None:
-    """Targets without keys share the requests by their slots."""
-    found = impact.predict_evacuation(build_survey(PEERS, is_keyed=False), identity.ZoneId("z2"))
-    assert "target i-a (a): load 0.30 -> 0.45" in found.changes
-    assert found.reasons == []
+    """Guards against a wrong prediction of the load that moves in a service without keys."""
+    prediction = impact.predict_evacuation(
+        build_survey(PEERS, is_keyed=False), identity.ZoneId("z2")
+    )
+    assert "target i-a (a): load 0.30 -> 0.45" in prediction.changes
+    assert prediction.reasons == []
 
 
 @pytest.mark.parametrize(
@@ -78,26 +82,26 @@
     ],
 )
 def test_reasons_against_an_evacuation(peers: list[survey.Peer], zone: str, reason: str) -> None:
-    """A zone whose evacuation would leave a service without room is refused beforehand."""
-    seen = build_survey(peers, is_keyed=True)
-    found = impact.predict_evacuation(seen, identity.ZoneId(zone))
-    assert any(reason in line for line in found.reasons), found
+    """Guards against allowing an evacuation that leaves a service without enough capacity."""
+    node_survey = build_survey(peers, is_keyed=True)
+    prediction = impact.predict_evacuation(node_survey, identity.ZoneId(zone))
+    assert any(reason in line for line in prediction.reasons), prediction
 
 
 def read_traffic(version: int, shares: dict[str, float]) -> traffic.TrafficConfig:
     split = [{"backend": name, "weight": weight} for name, weight in shares.items()]
-    found = configuration.decode(mesh.build_config(version, split=split))
-    assert isinstance(found, traffic.TrafficConfig)
-    return found
+    config = configuration.decode(mesh.build_config(version, split=split))
+    assert isinstance(config, traffic.TrafficConfig)
+    return config
 
 
 def test_other_weights() -> None:
-    """Each target's part of what is added or taken; a service without targets is refused."""
+    """Guards against a wrong share per target, and requests sent to a service without targets."""
     before = read_traffic(1, {"lookup": 1.0})
     after = read_traffic(2, {"lookup": 0.7, "orders": 0.3})
-    found = impact.predict_split(build_survey(PEERS, is_keyed=False), before, after)
+    prediction = impact.predict_split(build_survey(PEERS, is_keyed=False), before, after)
     assert any(
-        "lookup: -30%" in line and "-10.0% for each of its 3" in line for line in found.changes
+        "lookup: -30%" in line and "-10.0% for each of its 3" in line for line in prediction.changes
     )
-    assert all("service orders: has no target" in line for line in found.reasons)
-    assert found.reasons
+    assert all("service orders: has no target" in line for line in prediction.reasons)
+    assert prediction.reasons
--- a/tests/version/test_publish.py
+++ b/tests/version/test_publish.py
@@ -1,4 +1,4 @@
-"""Tests of publishing over a platform that loses, delays and reorders writes."""
+"""Tests of publishing on a platform that loses, delays and reorders writes."""
 
 import collections.abc
 import contextlib
@@ -22,7 +22,7 @@
     )
 
 
-def make_order(author: str, *, base: int = 0, slots: int = 10) -> publish.PublishRequest:
+def make_request(author: str, *, base: int = 0, slots: int = 10) -> publish.PublishRequest:
     return publish.PublishRequest(
         body=objects.encode_body(make_set(slots)),
         base=identity.ConfigVersion(base),
@@ -43,8 +43,8 @@
 
 
 def fail_call(memory: platform.Memory, index: int, fault: str) -> platform.Platform:
-    """Return a platform whose call number ``index`` has a fault."""
-    sound = platform.open_memory(memory)
+    """Return a platform in which call number ``index`` fails in the given way."""
+    working_platform = platform.open_memory(memory)
     calls = itertools.count()
     late: list[tuple[platform.Expected, platform.Writes]] = []
 
@@ -56,13 +56,13 @@
     async def read(key: str) -> platform.RowResult:
         memory.is_down = is_due()
         try:
-            return await sound.table.read(key)
+            return await working_platform.table.read(key)
         finally:
             memory.is_down = False
 
     async def commit(expected: platform.Expected, writes: platform.Writes) -> platform.CommitState:
         if not is_due():
-            return await sound.table.commit(expected, writes)
+            return await working_platform.table.commit(expected, writes)
         if fault == "reply-lost":
             platform.apply_commit(memory, expected, writes)
         elif fault == "applied-late":
@@ -72,13 +72,13 @@
     async def put(name: str, body: bytes) -> platform.PutResult:
         memory.is_down = is_due() and fault != "reply-lost"
         try:
-            return await sound.objects.put(name, body)
+            return await working_platform.objects.put(name, body)
         finally:
             memory.is_down = False
 
     return platform.Platform(
-        table=dataclasses.replace(sound.table, read=read, commit=commit),
-        objects=dataclasses.replace(sound.objects, put=put),
+        table=dataclasses.replace(working_platform.table, read=read, commit=commit),
+        objects=dataclasses.replace(working_platform.objects, put=put),
     )
 
 
@@ -92,78 +92,84 @@
 async def test_every_lost_reply_is_resolved(
     index: int, fault: str, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a publication that is reported wrongly, or takes effect twice."""
+    """Guards against a wrong result, or two entries, when a request or reply is lost or late."""
     memory = platform.Memory()
     async with open_clock() as clock:
-        done = await publish.publish(fail_call(memory, index, fault), make_order("ana"), clock)
+        outcome = await publish.publish(fail_call(memory, index, fault), make_request("ana"), clock)
     authors = await list_authors(memory)
-    assert done.state in (publish.State.ACCEPTED, publish.State.UNAVAILABLE)
-    assert authors == (["ana"] if done.state is publish.State.ACCEPTED else [])
+    assert outcome.state in (publish.State.ACCEPTED, publish.State.UNAVAILABLE)
+    assert authors == (["ana"] if outcome.state is publish.State.ACCEPTED else [])
     # Only the first read of the head may fail without a second attempt.
-    assert (done.state is publish.State.UNAVAILABLE) == (index == 0)
+    assert (outcome.state is publish.State.UNAVAILABLE) == (index == 0)
 
 
 async def test_lost_reply_followed_by_another_publication(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Guards against calling a publication refused because a later one follows it."""
+    """Guards against reporting a conflict after a lost reply when a later publication succeeded."""
     memory = platform.Memory(lost_replies=1)
-    sound = platform.open_memory(memory)
+    working_platform = platform.open_memory(memory)
     async with open_clock() as clock:
 
         async def commit(
             expected: platform.Expected, writes: platform.Writes
         ) -> platform.CommitState:
-            state = await sound.table.commit(expected, writes)
-            later = await publish.publish(sound, make_order("luc", base=1, slots=6), clock)
+            state = await working_platform.table.commit(expected, writes)
+            later = await publish.publish(
+                working_platform, make_request("luc", base=1, slots=6), clock
+            )
             assert later.state is publish.State.ACCEPTED
             return state
 
-        table = dataclasses.replace(sound.table, commit=commit)
-        services = dataclasses.replace(sound, table=table)
-        done = await publish.publish(services, make_order("ana"), clock)
-    assert done.state is publish.State.ACCEPTED
+        table = dataclasses.replace(working_platform.table, commit=commit)
+        services = dataclasses.replace(working_platform, table=table)
+        outcome = await publish.publish(services, make_request("ana"), clock)
+    assert outcome.state is publish.State.ACCEPTED
     assert await list_authors(memory) == ["ana", "luc"]
 
 
 async def test_silent_store_leaves_the_outcome_unknown(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Guards against claiming success or refusal while nobody can know."""
+    """Guards against reporting success or refusal when the store never confirms the outcome."""
     memory = platform.Memory()
-    sound = platform.open_memory(memory)
+    working_platform = platform.open_memory(memory)
 
     async def commit(expected: platform.Expected, writes: platform.Writes) -> platform.CommitState:
         memory.is_down = True
         return platform.CommitState.UNKNOWN
 
-    services = dataclasses.replace(sound, table=dataclasses.replace(sound.table, commit=commit))
+    services = dataclasses.replace(
+        working_platform, table=dataclasses.replace(working_platform.table, commit=commit)
+    )
     async with open_clock() as clock:
-        done = await publish.publish(services, make_order("ana"), clock)
-    assert done.state is publish.State.UNKNOWN
-    assert "ana-0-10" in done.cause
+        outcome = await publish.publish(services, make_request("ana"), clock)
+    assert outcome.state is publish.State.UNKNOWN
+    assert "ana-0-10" in outcome.cause
 
 
 async def test_concurrent_publications(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against two accepted publications on one base, and an unexplained refusal."""
+    """Guards against accepting two publications with the same base, or an unexplained refusal."""
     memory = platform.Memory()
     services = platform.open_memory(memory)
-    done: dict[str, publish.Published] = {}
+    outcomes: dict[str, publish.Published] = {}
     async with open_clock() as clock:
-        first = await publish.publish(services, make_order("eva"), clock)
+        first = await publish.publish(services, make_request("eva"), clock)
         assert first.state is publish.State.ACCEPTED
         memory.delay_s = 0.05
 
-        async def run(order: publish.PublishRequest) -> None:
-            done[order.author] = await publish.publish(services, order, clock)
+        async def run(request: publish.PublishRequest) -> None:
+            outcomes[request.author] = await publish.publish(services, request, clock)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(run, make_order("ana", base=1, slots=6))
-            nursery.start_soon(run, make_order("luc", base=1, slots=8))
-    states = sorted(outcome.state.value for outcome in done.values())
+            nursery.start_soon(run, make_request("ana", base=1, slots=6))
+            nursery.start_soon(run, make_request("luc", base=1, slots=8))
+    states = sorted(published.state.value for published in outcomes.values())
     assert states == ["accepted", "conflict"]
-    refused = next(one for one in done.values() if one.state is publish.State.CONFLICT)
-    winner = next(name for name, one in done.items() if one is not refused)
+    refused = next(
+        outcome for outcome in outcomes.values() if outcome.state is publish.State.CONFLICT
+    )
+    winner = next(name for name, outcome in outcomes.items() if outcome is not refused)
     slots = {"ana": 6, "luc": 8}[winner]
     assert f"{winner} published version 2 at 2026-01-02T03:04:05Z (slots {slots})" in refused.cause
     assert refused.differences == [
@@ -173,14 +179,14 @@
 
 
 async def test_stale_base_is_refused(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against publishing over a version that the plan has not seen, or going back."""
+    """Guards against replacing a version that the plan was not based on."""
     memory = platform.Memory()
     services = platform.open_memory(memory)
     async with open_clock() as clock:
         for base in (0, 1):
-            await publish.publish(services, make_order("eva", base=base, slots=10 + base), clock)
-        done = await publish.publish(services, make_order("ana"), clock)
-    assert done.state is publish.State.CONFLICT
+            await publish.publish(services, make_request("eva", base=base, slots=10 + base), clock)
+        outcome = await publish.publish(services, make_request("ana"), clock)
+    assert outcome.state is publish.State.CONFLICT
     assert await list_authors(memory) == ["eva", "eva"]
     head = (await publish.read_head(services.table)).unwrap()
     assert publish.find_version(head) == 2
@@ -192,7 +198,7 @@
 
 
 async def test_wait_names_the_nodes_that_lag(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against reporting a version in force while a node does not have it."""
+    """Guards against reporting a version as in force while a node does not have it."""
     started = trio.current_time()
     shown: list[tuple[int, int, list[str]]] = []
 
