--- a/src/ebonyvalve/tool.py
+++ b/src/ebonyvalve/tool.py
@@ -476,14 +476,14 @@
 
 
 def _report_check(
-    environment: Environment, found: list[finding.Finding], *, is_json: bool
+    environment: Environment, findings: list[finding.Finding], *, is_json: bool
 ) -> ExitStatus:
-    refusals = finding.list_refusals(found)
-    warnings = len(found) - len(refusals)
+    refusals = finding.list_refusals(findings)
+    warnings = len(findings) - len(refusals)
     verdict = f"refused, {_count(len(refusals), 'reason')}" if refusals else "accepted"
     summary = f"{verdict}, {_count(warnings, 'warning')}"
-    lines = [*(finding.render(entry) for entry in found), summary]
-    value = CheckReport(is_accepted=not refusals, findings=found)
+    lines = [*(finding.render(entry) for entry in findings), summary]
+    value = CheckReport(is_accepted=not refusals, findings=findings)
     _emit_to(environment, value, lines, is_json=is_json)
     return ExitStatus.REFUSED if refusals else ExitStatus.DONE
 
@@ -497,8 +497,8 @@
     if not isinstance(loaded, result.Success):
         return _report_check(environment, loaded.failure(), is_json=is_json)
     entries = loaded.unwrap()
-    found = finding.locate(check.check_objects(entries.objects), entries.files)
-    return _report_check(environment, found, is_json=is_json)
+    findings = finding.locate(check.check_objects(entries.objects), entries.files)
+    return _report_check(environment, findings, is_json=is_json)
 
 
 async def _check_live(session: Session, paths: list[str]) -> ExitStatus:
@@ -509,8 +509,8 @@
     if targets is None:
         return _fail(session, "no node answers, so its targets are not known")
     entries = loaded.unwrap()
-    found = finding.locate(check.check_objects(entries.objects, targets), entries.files)
-    return _report_check(session.environment, found, is_json=session.is_json)
+    findings = finding.locate(check.check_objects(entries.objects, targets), entries.files)
+    return _report_check(session.environment, findings, is_json=session.is_json)
 
 
 async def _build_plan(
@@ -678,25 +678,25 @@
 
 async def _fetch_view(session: Session) -> MeshView:
     """Fetch the status of every node concurrently."""
-    found: dict[identity.NodeId, result.Result[report.Status, str]] = {}
+    replies: dict[identity.NodeId, result.Result[report.Status, str]] = {}
 
-    async def ask(node: identity.NodeId, address: identity.Address) -> None:
+    async def fetch_status(node: identity.NodeId, address: identity.Address) -> None:
         reply = await _ask(session, address, "/status")
-        found[node] = reply.bind(lambda answer: _decode(answer, report.Status))
+        replies[node] = reply.bind(lambda answer: _decode(answer, report.Status))
 
     async with trio.open_nursery() as nursery:
         for node, address in session.settings.nodes.items():
-            nursery.start_soon(ask, node, address)
+            nursery.start_soon(fetch_status, node, address)
     return MeshView(
         statuses=[
-            found[node].unwrap()
-            for node in sorted(found)
-            if isinstance(found[node], result.Success)
+            replies[node].unwrap()
+            for node in sorted(replies)
+            if isinstance(replies[node], result.Success)
         ],
         silent=[
-            report.NodeVersion(node=node, version=None, cause=found[node].failure())
-            for node in sorted(found)
-            if not isinstance(found[node], result.Success)
+            report.NodeVersion(node=node, version=None, cause=replies[node].failure())
+            for node in sorted(replies)
+            if not isinstance(replies[node], result.Success)
         ],
     )
 
@@ -765,8 +765,8 @@
 async def _status(session: Session, every_s: float | None) -> ExitStatus:
     while True:
         view = await _fetch_view(session)
-        value = StatusReport(nodes=view.statuses, silent=view.silent)
-        _emit(session, value, _render_view(view))
+        status_report = StatusReport(nodes=view.statuses, silent=view.silent)
+        _emit(session, status_report, _render_view(view))
         if every_s is None:
             return ExitStatus.DONE if view.statuses else ExitStatus.UNKNOWN
         await timer.wait_until(session.clock, timer.now(session.clock) + every_s)
@@ -795,11 +795,11 @@
             cause = reply.unwrap().body[:200].decode(errors="replace")
             session.environment.write_error(f"node at {address} knows no such service: {cause}")
             return ExitStatus.REFUSED
-        found = reply.bind(lambda answer: _decode(answer, report.Explanation))
-        if isinstance(found, result.Success):
-            _emit(session, found.unwrap(), report.render_explanation(found.unwrap()))
+        explanation = reply.bind(lambda answer: _decode(answer, report.Explanation))
+        if isinstance(explanation, result.Success):
+            _emit(session, explanation.unwrap(), report.render_explanation(explanation.unwrap()))
             return ExitStatus.DONE
-        causes.append(found.failure())
+        causes.append(explanation.failure())
     return _fail(session, "; ".join(causes) or "the settings list no nodes")
 
 
--- a/src/ebonyvalve/version/check.py
+++ b/src/ebonyvalve/version/check.py
@@ -66,7 +66,7 @@
         targets=_group_targets(snapshot, targets),
         has_live_targets=targets is not None,
     )
-    found = itertools.chain(
+    findings = itertools.chain(
         _check_not_empty(context),
         _check_references(context),
         _check_inheritance(context),
@@ -79,7 +79,7 @@
         *(_check_drain(context, drain) for drain in snapshot.drains.values()),
         _check_stranding(context),
     )
-    return sorted(found, key=lambda entry: entry.severity is finding.Severity.WARNING)
+    return sorted(findings, key=lambda entry: entry.severity is finding.Severity.WARNING)
 
 
 def check_transition(
@@ -376,8 +376,8 @@
         for first_rule, second_rule in itertools.combinations(scope_rules, 2):
             keys_by_pair[first_rule.name, second_rule.name].append(key)
     rules_by_name = context.snapshot.rules
-    for (first, second), keys in sorted(keys_by_pair.items()):
-        first_rule, second_rule = rules_by_name[first], rules_by_name[second]
+    for (first_name, second_name), keys in sorted(keys_by_pair.items()):
+        first_rule, second_rule = rules_by_name[first_name], rules_by_name[second_name]
         scope = f"key {_join(keys)}" if first_rule.keys else f"every key of {first_rule.service}"
         yield _compare_rules(first_rule, second_rule, scope)
     for rule in rules:
--- a/src/ebonyvalve/version/diagnostics.py
+++ b/src/ebonyvalve/version/diagnostics.py
@@ -28,17 +28,17 @@
     :param snapshot: the configuration in force.
     """
     node = here.read_node()
-    found = []
+    obstacles = []
     if snapshot is None:
-        found.append("no configuration has been received")
+        obstacles.append("no configuration has been received")
     if not lease.is_live(node, here.now()):
         coordinator = node.coordinator or "no coordinator known"
-        found.append(f"the lease has expired or was never granted (coordinator: {coordinator})")
+        obstacles.append(f"the lease has expired or was never granted (coordinator: {coordinator})")
     if not target.is_up(here.target):
-        found.append(f"the target is {here.target.state.value}: {here.target.reason}")
+        obstacles.append(f"the target is {here.target.state.value}: {here.target.reason}")
     if here.is_stopping:
-        found.append("the node is stopping")
-    return found
+        obstacles.append("the node is stopping")
+    return obstacles
 
 
 def build_status(
@@ -90,8 +90,8 @@
 def _describe_target(
     here: site.Site, member: message.Member, ownership_state: ownership.State
 ) -> report.Target:
-    book = here.books[member.service]
-    latency = book.targets.get(member.node)
+    latencies = here.books[member.service]
+    latency = latencies.targets.get(member.node)
     is_here = member.node == here.node
     version = None
     if ownership_state.leadership is not None:
@@ -104,7 +104,7 @@
         is_up=member.is_target_up,
         is_cold=member.is_cold,
         is_leaving=member.is_leaving,
-        is_straggler=straggler.is_bypassed(book, member.node),
+        is_straggler=straggler.is_bypassed(latencies, member.node),
         limit=limit.read_limit(here.admission) if is_here else None,
         in_flight=here.in_flight[member.node],
         latency_ms=None if latency is None else latency.mean_s * 1000,
@@ -133,14 +133,14 @@
 def _list_drains(node: lease.Node, snapshot: route.Snapshot | None) -> list[report.Drain]:
     if snapshot is None:
         return []
-    found = []
+    drains = []
     for order in snapshot.drains.values():
         leaving = {
             member.node
             for member in node.members.values()
             if member.zone == order.zone or member.node in order.nodes
         }
-        found.append(
+        drains.append(
             report.Drain(
                 name=order.name,
                 reason=order.reason,
@@ -149,7 +149,7 @@
                 shards_left=sum(entry.owner in leaving for entry in node.routes.values()),
             )
         )
-    return found
+    return drains
 
 
 ChooseRoute = collections.abc.Callable[
@@ -176,11 +176,11 @@
     :param key: the key.
     :param choose_route: returns the routing decision, the node it names, and its reason.
     """
-    found = None if snapshot is None else snapshot.services.get(service)
-    if snapshot is None or found is None:
+    service_object = None if snapshot is None else snapshot.services.get(service)
+    if snapshot is None or service_object is None:
         return None
     node = here.read_node()
-    shard = route.find_shard(found, key, node.routes) if found.is_keyed else None
+    shard = route.find_shard(service_object, key, node.routes) if service_object.is_keyed else None
     entry = None if shard is None else node.routes.get(shard)
     owner = None if entry is None or entry.owner == lease.NOBODY else entry.owner
     kind, route_node, reason = choose_route(service, key)
--- a/src/ebonyvalve/version/placement.py
+++ b/src/ebonyvalve/version/placement.py
@@ -279,8 +279,10 @@
     slots = float(max(1, member.slots or service.slots))
     if cold_since_s is None:
         return slots
-    warmth = min(1.0, (now_s - cold_since_s) / service.warm_up_s) if service.warm_up_s > 0 else 1.0
-    return 1.0 + (slots - 1.0) * warmth
+    warm_fraction = (
+        min(1.0, (now_s - cold_since_s) / service.warm_up_s) if service.warm_up_s > 0 else 1.0
+    )
+    return 1.0 + (slots - 1.0) * warm_fraction
 
 
 def find_parent(
@@ -316,17 +318,17 @@
     fast_step = 1.0 - math.exp(-elapsed_s / FAST_EWMA_S)
     if not is_first:
         transfer_loads(state, view, services)
-    for service, listed in shards.items():
-        average_loads(state, view, service, listed, elapsed_s)
+    for service, service_shards in shards.items():
+        average_loads(state, view, service, service_shards, elapsed_s)
     key_shares = {}
     for key in view.hot_keys.keys() | state.key_shares.keys():
         if key in view.owners or identity.split_shard(key)[0] not in services:
             continue
         share = view.hot_keys.get(key, 0.0)
-        old = state.key_shares.get(key, share)
-        value = old + fast_step * (share - old)
-        if key in view.hot_keys or value > MIN_KEY_SHARE:
-            key_shares[key] = value
+        old_share = state.key_shares.get(key, share)
+        new_share = old_share + fast_step * (share - old_share)
+        if key in view.hot_keys or new_share > MIN_KEY_SHARE:
+            key_shares[key] = new_share
     state.key_shares = key_shares
     state.key_loads = {
         key: share * state.fast_loads.get(find_parent(key, services) or key, 0.0)
@@ -408,8 +410,8 @@
     :param shard: the shard.
     :param now_s: the current time.
     """
-    held_s = state.ignore_moved_until_s.get(shard, -math.inf)
-    return max(held_s, state.ignore_split_until_s.get(shard, -math.inf)) > now_s
+    until_s = state.ignore_moved_until_s.get(shard, -math.inf)
+    return max(until_s, state.ignore_split_until_s.get(shard, -math.inf)) > now_s
 
 
 def transfer_loads(
@@ -430,11 +432,11 @@
         if parent is None or parent not in state.loads:
             continue
         if shard in view.owners:
-            moved = min(state.key_loads.get(shard, 0.0), state.fast_loads[parent])
-            state.loads[shard] = state.fast_loads[shard] = moved
+            moved_load = min(state.key_loads.get(shard, 0.0), state.fast_loads[parent])
+            state.loads[shard] = state.fast_loads[shard] = moved_load
         else:
-            moved = -state.loads.get(shard, 0.0)
-        state.fast_loads[parent] -= moved
+            moved_load = -state.loads.get(shard, 0.0)
+        state.fast_loads[parent] -= moved_load
         state.loads[parent] = state.fast_loads[parent]
         state.ignore_split_until_s[parent] = state.ignore_split_until_s[shard] = (
             view.now_s + IGNORE_LOAD_S
@@ -492,14 +494,14 @@
         for node, member in members.items()
     }
     slots = sum(member.slots or constraints.service.slots for member in members.values())
-    idle = IDLE_UTILISATION * slots / max(1, len(shards))
+    idle_load = IDLE_UTILISATION * slots / max(1, len(shards))
     prefix = identity.name_key(constraints.service.name, identity.KeyId(""))
     layout = Layout(
         constraints=constraints,
         members=members,
         capacity=capacity,
         cold=frozenset(node for node in members if node in cold_since_s),
-        weights={shard: state.loads[shard] + idle for shard in shards},
+        weights={shard: state.loads[shard] + idle_load for shard in shards},
         key_shards=[shard for shard in shards if shard.startswith(prefix)],
         owners={},
         shards_by_node={node: set() for node in members},
@@ -1089,8 +1091,8 @@
     for shard, owner in view.owners.items():
         if owner is not None and identity.split_shard(shard)[0] == service:
             loads[owner] = loads.get(owner, 0.0) + view.loads.get(shard, 0.0)
-    thing = f"key {key} of {service}" if key is not None else f"partition {move.shard}"
-    carried = view.loads.get(move.shard, 0.0)
+    subject = f"key {key} of {service}" if key is not None else f"partition {move.shard}"
+    shard_load = view.loads.get(move.shard, 0.0)
     source = move.source
     if source is None:
         cause = "it has no owner"
@@ -1107,4 +1109,4 @@
             f"{source} carries {loads.get(source, 0.0):.2f} busy slots and "
             f"{move.target} {loads.get(move.target, 0.0):.2f}"
         )
-    return f"{thing} ({carried:.2f} busy slots) moves to {move.target} because {cause}"
+    return f"{subject} ({shard_load:.2f} busy slots) moves to {move.target} because {cause}"
--- a/src/ebonyvalve/version/plan.py
+++ b/src/ebonyvalve/version/plan.py
@@ -124,26 +124,26 @@
     :param targets: the targets in service, if known.
     :param preview: predicts the moves; without it, they are estimated from the number of targets.
     """
-    found = [
+    all_findings = [
         *check.check_objects(after, targets),
         *check.check_transition(before, after, targets),
     ]
     changes = diff_objects(before, after)
-    refusals = finding.list_refusals(found)
+    refusals = finding.list_refusals(all_findings)
     impacts: list[Impact] = []
     if not refusals and changes:
         impacts = (preview or build_estimate(targets))(before, after)
     takes_s = _estimate_duration(after, impacts)
-    found += _check_drain_times(after, impacts, takes_s)
+    all_findings += _check_drain_times(after, impacts, takes_s)
     return Plan(
         base=base,
         is_safe=not refusals,
-        verdict=_build_verdict(changes, found),
+        verdict=_build_verdict(changes, all_findings),
         changes=changes,
         impacts=impacts,
         takes_s=takes_s,
-        refused_meanwhile=_list_refused(before, after, found),
-        findings=found,
+        refused_meanwhile=_list_refused(before, after, all_findings),
+        findings=all_findings,
     )
 
 
--- a/src/ebonyvalve/version/publish.py
+++ b/src/ebonyvalve/version/publish.py
@@ -170,9 +170,9 @@
     head = await read_head(services.table)
     if not isinstance(head, result.Success):
         return _fail(request, f"nothing was published: {head.failure()}")
-    found = head.unwrap()
-    if find_version(found) != request.base:
-        return await _explain_conflict(services, request, found.entry)
+    current_head = head.unwrap()
+    if find_version(current_head) != request.base:
+        return await _explain_conflict(services, request, current_head.entry)
     entry = Entry(
         version=identity.ConfigVersion(request.base + 1),
         digest=objects.digest_body(request.body),
@@ -184,7 +184,7 @@
     # The body is written first, because no node can adopt a head whose body is missing.
     if not await _put_body(services.objects, entry.digest, request.body, clock):
         return _fail(request, "nothing was published: the object store does not answer")
-    return await _commit_entry(services, request, entry, found.row_version, clock)
+    return await _commit_entry(services, request, entry, current_head.row_version, clock)
 
 
 async def wait_in_force(
@@ -232,10 +232,10 @@
     row = await table.read(key)
     if not isinstance(row, result.Success):
         return result.Failure(f"{key} cannot be read: the table service is {row.failure().value}")
-    found = row.unwrap()
-    if found.version == 0:
+    stored_row = row.unwrap()
+    if stored_row.version == 0:
         return result.Success((None, 0))
-    return _parse_entry(key, found.value).map(lambda entry: (entry, found.version))
+    return _parse_entry(key, stored_row.value).map(lambda entry: (entry, stored_row.version))
 
 
 def _parse_entry(key: str, value: bytes) -> result.Result[Entry, str]:
--- a/src/ebonyvalve/version/route.py
+++ b/src/ebonyvalve/version/route.py
@@ -78,8 +78,8 @@
             for number in range(service.partitions):
                 yield identity.name_partition(service.name, identity.Partition(number))
     for entry in snapshot.keys.values():
-        found = snapshot.services.get(entry.service)
-        if found is not None and found.is_keyed:
+        service_object = snapshot.services.get(entry.service)
+        if service_object is not None and service_object.is_keyed:
             yield identity.name_key(entry.service, entry.key)
 
 
--- a/tests/version/test_check.py
+++ b/tests/version/test_check.py
@@ -34,9 +34,9 @@
 
 
 def list_warnings(*entries: objects.AnyObject) -> list[str]:
-    found = check.check_objects(objects.sort_objects(entries))
-    assert not finding.list_refusals(found)
-    return [f"{entry.code.value} {entry.name} {entry.field}" for entry in found]
+    findings = check.check_objects(objects.sort_objects(entries))
+    assert not finding.list_refusals(findings)
+    return [f"{entry.code.value} {entry.name} {entry.field}" for entry in findings]
 
 
 @pytest.mark.parametrize("name", sorted(REFUSALS))
@@ -44,15 +44,15 @@
     """Guards against accepting a kind of fault, or explaining it with another cause."""
     directory = EXAMPLES / "faulty" / name
     lines = [finding.render(entry) for entry in finding.list_refusals(check_directories(directory))]
-    shown = [line.removeprefix("refused ").replace(f"{directory}/", "") for line in lines]
-    assert [line.replace("] objects.json: ", "] ") for line in shown] == REFUSALS[name]
+    shown_lines = [line.removeprefix("refused ").replace(f"{directory}/", "") for line in lines]
+    assert [line.replace("] objects.json: ", "] ") for line in shown_lines] == REFUSALS[name]
 
 
 def test_every_kind_of_refusal_has_an_example() -> None:
     """Guards against a kind of refusal without an example, and an example that no test reads."""
     assert {path.name for path in (EXAMPLES / "faulty").iterdir()} == set(REFUSALS)
-    shown = " ".join(line for lines in REFUSALS.values() for line in lines)
-    missing = [code for code in finding.Code if f"[{code.value}]" not in shown]
+    all_lines = " ".join(line for lines in REFUSALS.values() for line in lines)
+    missing = [code for code in finding.Code if f"[{code.value}]" not in all_lines]
     assert set(missing) == TESTED_ELSEWHERE | WARNINGS
 
 
@@ -101,8 +101,8 @@
     fewer = objects.Service(name=SERVICE.name, partitions=128)
     plain = objects.Service(name=SERVICE.name, is_keyed=False)
     for service, field in ((fewer, "partitions"), (plain, "is_keyed")):
-        found = check.check_transition(before, objects.sort_objects([service, *ZONES]))
-        assert [(entry.code, entry.field) for entry in found] == [
+        findings = check.check_transition(before, objects.sort_objects([service, *ZONES]))
+        assert [(entry.code, entry.field) for entry in findings] == [
             (finding.Code.UNSAFE_CHANGE, field)
         ]
 
@@ -141,7 +141,7 @@
         name=SERVICE.name, slots=4, deadline_ms=100, max_body_bytes=1, idempotent_methods=["GET"]
     )
     before = objects.sort_objects([SERVICE, *ZONES])
-    found = check.check_transition(before, objects.sort_objects([narrow, *ZONES]))
-    assert {entry.code for entry in found} == {finding.Code.NARROWED}
+    findings = check.check_transition(before, objects.sort_objects([narrow, *ZONES]))
+    assert {entry.code for entry in findings} == {finding.Code.NARROWED}
     fields = ["max_body_bytes", "slots", "deadline_ms", "idempotent_methods"]
-    assert [entry.field for entry in found] == fields
+    assert [entry.field for entry in findings] == fields
--- a/tests/version/test_placement.py
+++ b/tests/version/test_placement.py
@@ -60,8 +60,8 @@
     # With two nodes, each owns 30 shards, more than a drain moves in one round.
     world = worlds.build_world(nodes=2 if name == "leaving" else 6)
     worlds.run(world, 5.0)
-    lost = {worlds.node(number) for number in node_numbers}
-    affected = {shard for shard, owner in world.owners.items() if owner in lost}
+    lost_nodes = {worlds.node(number) for number in node_numbers}
+    affected = {shard for shard, owner in world.owners.items() if owner in lost_nodes}
     fault(world)
     plans = worlds.run(world, 30.0)
     moves = worlds.list_moves(plans)
@@ -73,7 +73,7 @@
     for planned in plans:
         for source, number in collections.Counter(m.source for m in planned.moves).items():
             assert source is None or reason is Reason.ORPHANED or number <= 24
-    loads = [load for node, load in worlds.find_loads(world).items() if node not in lost]
+    loads = [load for node, load in worlds.find_loads(world).items() if node not in lost_nodes]
     assert max(loads) * len(loads) <= 1.1 * sum(loads)
 
 
@@ -91,22 +91,22 @@
     """Guards against moving more than a fair share to a node that returns after a loss."""
     world = worlds.build_world()
     rng = random.Random(1)
-    exact = dict(world.loads)
+    exact_loads = dict(world.loads)
     member = world.members[worlds.node(1)]
     worlds.run(world, 5.0)
     owned = {shard for shard, owner in world.owners.items() if owner == member.node}
     worlds.remove_node(world, 1)
     worlds.run(world, 20.0)
     world.members[member.node] = member
-    back_s = world.now_s
+    returned_s = world.now_s
     moves: list[assignment.Move] = []
     for _ in range(120):
         world.loads = {
-            shard: load * rng.uniform(1 - noise, 1 + noise) for shard, load in exact.items()
+            shard: load * rng.uniform(1 - noise, 1 + noise) for shard, load in exact_loads.items()
         }
         planned = worlds.build_plan(world)
         assert (
-            not planned.moves or world.now_s - back_s >= 5.0
+            not planned.moves or world.now_s - returned_s >= 5.0
         ), "a move to a node that just returned"
         assert len(planned.moves) <= 8
         worlds.carry_out(world, planned)
@@ -114,7 +114,7 @@
     assert {move.target for move in moves} == {member.node}
     assert len(moves) <= len(world.owners) // len(world.members), "more than its fair share"
     assert len({move.shard for move in moves} & owned) >= 0.6 * len(moves), "not what it lost"
-    world.loads = exact
+    world.loads = exact_loads
     loads = worlds.find_loads(world).values()
     assert max(loads) * len(loads) <= 1.2 * sum(loads)
 
@@ -143,10 +143,10 @@
     """Guards against moves that are caused only by noise in the reported loads."""
     world = worlds.build_world()
     rng = random.Random(2)
-    exact = dict(world.loads)
+    exact_loads = dict(world.loads)
     for _ in range(600):
         world.loads = {
-            shard: load * rng.uniform(1 - level, 1 + level) for shard, load in exact.items()
+            shard: load * rng.uniform(1 - level, 1 + level) for shard, load in exact_loads.items()
         }
         planned = worlds.build_plan(world)
         assert planned == assignment.Plan(split=[], merge=[], moves=[])
@@ -236,12 +236,12 @@
         shard: load * (1 + number % 3) for number, (shard, load) in enumerate(world.loads.items())
     }
     assert first.moves and worlds.build_plan(world).moves == first.moves
-    gone = first.moves[0].target
-    del world.members[gone]
+    lost_target = first.moves[0].target
+    del world.members[lost_target]
     second = worlds.build_plan(world)
-    assert gone not in {move.target for move in second.moves}
+    assert lost_target not in {move.target for move in second.moves}
     kept = {move.shard: move.target for move in second.moves}
-    assert all(kept[m.shard] == m.target for m in first.moves if m.target != gone)
+    assert all(kept[m.shard] == m.target for m in first.moves if m.target != lost_target)
 
 
 def check_slots() -> None:
