--- a/src/ebonyvalve/request/__init__.py
+++ b/src/ebonyvalve/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""The handling of one request, from its arrival to its outcome."""
--- a/src/ebonyvalve/request/attempt.py
+++ b/src/ebonyvalve/request/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a connection, a deadline, and what became of them."""
+"""Makes one attempt at a request: takes a connection, applies the deadline, reports the result."""
 
 import collections.abc
 import dataclasses
@@ -13,16 +13,20 @@
 
 log = logging.getLogger(__name__)
 
-# Answers of targets that work for 100 to 200 ms and wait in queues; probes of the kernel find
-# silent connections sooner than missing answers do.
+# 99th percentile of the reply times of targets that work for 100 to 200 ms and have queues. The
+# kernel's keep-alive probes detect silent connections sooner than a missing reply does.
 TYPICAL_P99_S = 0.75
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AttemptContext:
-    """Where an attempt goes.
+    """The destination of an attempt and how its request and reply are handled.
 
-    ``max_idle_s`` bounds the age of a reused connection; see :func:`pool.acquire`.
+    ``extra_headers`` are added to the request, ``filter_reply`` decides whether the reply is passed
+    on, and ``correlate`` says which request a reply names. ``p99_s`` is the 99th percentile of
+    reply times. ``max_idle_s`` bounds the idle time of a reused connection; see
+    :func:`pool.acquire`. With ``awaits_continue`` the rest of a body is sent only after a
+    "100 Continue".
     """
 
     pool: pool.Pool
@@ -37,10 +41,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class AttemptResult:
-    """An attempt with the reasons for which it may have been cut short.
+    """An attempt and why it may have ended early.
 
-    ``is_ended`` stays false when the attempt was cancelled from outside. ``cut`` says why the node
-    gave up its connection, if it did.
+    ``is_ended`` stays false when the attempt was cancelled from outside. ``failure`` says why no
+    connection was available, ``is_timed_out`` that the deadline passed, and ``abort_reason`` why
+    the node aborted the connection, if it did.
     """
 
     attempt: dispatch.Attempt = dataclasses.field(default_factory=dispatch.Attempt)
@@ -57,16 +62,16 @@
     now: collections.abc.Callable[[], float],
     attempt_result: AttemptResult,
 ) -> None:
-    """Make one attempt within the request's deadline, unless the caller has left before it.
+    """Make one attempt within the request's deadline, unless the caller has already left.
 
-    The result is filled in as the attempt goes, so that it is known how far it came when it is
+    The result is updated as the attempt proceeds, so that its progress is known when it is
     cancelled.
 
-    :param way: where it goes.
+    :param context: the destination.
     :param call: the request.
     :param caller: the caller's end.
-    :param now: returns the time in seconds.
-    :param ended: receives the result.
+    :param now: returns the node's clock in seconds.
+    :param attempt_result: receives the result.
     """
     try:
         await _run_once(context, call, caller, now, attempt_result)
@@ -98,8 +103,8 @@
         connection.has_response_head = False
         connection.abort_reason = None
         connection.is_reply_begun = caller.is_reply_begun
-        # The last moment: nothing is awaited before the first byte is sent. The watch may not have
-        # had its turn, after a freeze or a wait for room.
+        # Nothing is awaited between this check and the first byte sent. The task that watches the
+        # caller may not have run yet, after a freeze of the process or a wait for a connection.
         if caller.is_gone():
             attempt_result.attempt.step = dispatch.Step.CALLER_GONE
             attempt_result.is_ended = True
@@ -120,7 +125,7 @@
                 )
         finally:
             attempt_result.abort_reason = connection.abort_reason
-            # Most connections are kept, which needs no waiting and so no shield.
+            # Most connections are kept, which awaits nothing and needs no shield.
             if not pool.try_release(context.pool, connection):
                 with trio.CancelScope(shield=True):
                     await pool.discard(context.pool, context.address, connection)
@@ -131,7 +136,7 @@
 def _record(
     context: AttemptContext, call: exchange.Call, attempt_result: AttemptResult, now: float
 ) -> None:
-    """Log an attempt that brought no whole answer, with what ended it and how far it had come."""
+    """Log an attempt without a complete reply, with its progress and what ended it."""
     attempt = attempt_result.attempt
     if attempt.step in (dispatch.Step.RELAYED, dispatch.Step.WITHHELD):
         return
@@ -152,7 +157,7 @@
 
 
 def _find_end_cause(attempt_result: AttemptResult) -> str:
-    """Return what ended an attempt: this node, its caller, or the other end of the connection."""
+    """Return the logged cause: this node, its caller, or the other end of the connection."""
     if attempt_result.failure is not None:
         return attempt_result.failure.value
     if attempt_result.abort_reason is not None:
@@ -165,11 +170,11 @@
 
 
 def suggests_peer_loss(attempt_result: AttemptResult) -> bool:
-    """Return whether an attempt shows that the other end may be lost.
+    """Return whether an attempt suggests that the other end is lost.
 
-    An answer that begins shows that it is there, whatever breaks it off later.
+    The head of a reply shows that the other end is alive, whatever interrupts the body later.
 
-    :param ended: the attempt.
+    :param attempt_result: the attempt.
     """
     is_broken = attempt_result.attempt.step in (
         dispatch.Step.SEND_FAILED,
@@ -179,12 +184,12 @@
 
 
 def conclude(attempt_result: AttemptResult) -> exchange.Completion:
-    """Return what an attempt without a decided answer means for the request.
+    """Return the completion that follows from an attempt whose reply was not withheld.
 
-    "Not run" is said only when no byte was sent, or when the other end said so; the caller of this
-    function handles the latter.
+    The verdict is "not run" only when no byte was sent. Callers handle the other case, in which
+    the other end itself reports that the request did not run.
 
-    :param ended: the attempt.
+    :param attempt_result: the attempt.
     """
     attempt = attempt_result.attempt
     if attempt.step is dispatch.Step.RELAYED:
--- a/src/ebonyvalve/request/buffering.py
+++ b/src/ebonyvalve/request/buffering.py
@@ -1,19 +1,21 @@
-"""Holds small answers back until they are whole."""
+"""Buffers small replies until they are complete."""
 
 import dataclasses
 
 from ebonyvalve.request import exchange
 
-# Larger answers are streamed; one that breaks off after its beginning can't be sent again.
+# Larger replies are streamed. A request whose reply breaks off while it is streamed cannot be
+# retried.
 MAX_BUFFERED_BYTES = 65_536
 
 
 def buffer_reply(caller: exchange.Caller) -> exchange.Caller:
-    """Hold a small answer back until it is whole, so that a broken one is never begun.
+    """Return a caller's end that buffers the beginning of a reply.
 
-    Returns a caller that gets the beginning of an answer only when enough of it is there.
+    A reply that breaks off early has then not been begun at the caller, so that the request can be
+    retried.
 
-    :param caller: who gets the answer.
+    :param caller: receives the reply when it is complete or exceeds ``MAX_BUFFERED_BYTES``.
     """
     head: list[tuple[int, exchange.Headers]] = []
     parts: list[bytes] = []
@@ -29,8 +31,8 @@
         return not body or await caller.write(body)
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
-        # What came of an earlier attempt that broke off is of no use. Its beginning may have been
-        # cancelled before a byte was sent.
+        # Discards the partial reply of an earlier attempt. Its streaming may have been started and
+        # then cancelled before a byte was sent.
         head[:] = [(status, headers)]
         parts.clear()
         size[0] = 0
--- a/src/ebonyvalve/request/correlation.py
+++ b/src/ebonyvalve/request/correlation.py
@@ -1,10 +1,10 @@
-"""Whether an answer on a kept connection belongs to the request that was sent last."""
+"""Decides whether a reply on a reused connection belongs to the last request sent on it."""
 
 import enum
 
 
 class Correlation(enum.Enum):
-    """Which request an answer names."""
+    """Whether a reply names the request that was sent: it, another one, or none."""
 
     MATCH = "own"
     MISMATCH = "other"
@@ -12,13 +12,13 @@
 
 
 def is_reply_to_last(correlation: Correlation, *, is_first: bool) -> bool:
-    """Return whether an answer can only be that to the request which was sent last.
+    """Return whether a reply can only belong to the last request sent on its connection.
 
-    The other end may write an earlier answer once more. One that names its request is told apart,
-    because no request is sent twice on a connection on which it was refused. One that names none
-    may be that to any earlier request on its connection.
+    The other end may send an earlier reply twice. A duplicate that names its request is recognised,
+    because no request is sent again on a connection on which it was refused. A reply that names no
+    request may belong to any earlier request on its connection.
 
-    :param naming: which request it names.
-    :param is_first: whether it is the first answer on its connection.
+    :param correlation: which request the reply names.
+    :param is_first: whether it is the first reply on its connection.
     """
     return correlation is Correlation.MATCH or (correlation is Correlation.UNNAMED and is_first)
--- a/src/ebonyvalve/request/crash.py
+++ b/src/ebonyvalve/request/crash.py
@@ -1,4 +1,4 @@
-"""Finds out that the target beside this node has crashed, and what it was running then."""
+"""Detects crashes of this node's target, and quarantines the requests that it was running."""
 
 import collections
 import dataclasses
@@ -17,16 +17,21 @@
 log = logging.getLogger(__name__)
 
 CRASH_PATH = "/ebonyvalve/crash"
-# A process that has ended refuses connections at once and for as long as it takes to start; a full
-# one may refuse a single connection.
+# Delay between two refused connections that confirm a crash. A process that has ended refuses all
+# connections until it has restarted; one with a full backlog may refuse a single one.
 CONFIRM_DELAY_S = 0.1
-# The connections of a crashed target break together; the crash is confirmed soon after.
+# A crash breaks all connections of the target at once and is confirmed soon after, so older broken
+# requests are not suspected.
 BROKEN_RETENTION_S = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Detector:
-    """What points to a crash. ``broken`` are the requests whose connections broke lately."""
+    """Evidence of crashes of the target.
+
+    ``broken_requests`` holds the requests whose connections broke lately, with the time in seconds
+    on the node's clock. ``check_requested`` is set when the target must be checked.
+    """
 
     node: node_module.Node
     pool: pool.Pool
@@ -39,17 +44,17 @@
 
 
 def record_refused_connection(detector: Detector) -> None:
-    """Note that the target has refused a connection.
+    """Record that the target refused a connection, and request a check of the target.
 
-    :param watch: the state.
+    :param detector: the state.
     """
     detector.check_requested.set()
 
 
 def record_broken_request(detector: Detector, call: exchange.Call) -> None:
-    """Note that the target broke off a request.
+    """Record that the target broke off a request, and request a check of the target.
 
-    :param watch: the state.
+    :param detector: the state.
     :param call: the request.
     """
     now = detector.node.now()
@@ -61,17 +66,17 @@
 def is_quarantined(detector: Detector, call: exchange.Call) -> bool:
     """Return whether a request has crashed so many targets that it must not run.
 
-    :param watch: the state.
+    :param detector: the state.
     :param call: the request.
     """
-    # Hardly ever is there anything to compare with, so that requests pay nothing.
+    # Crashes are rare, so most requests need no fingerprint.
     if not detector.quarantine.crashes:
         return False
     return crashes.is_quarantined(detector.quarantine, fingerprint(call), detector.node.now())
 
 
 def fingerprint(call: exchange.Call) -> identity.Fingerprint:
-    """Return what stays the same when a caller sends a request again.
+    """Return the fingerprint of a request, which stays the same when a caller sends it again.
 
     :param call: the request; only the beginning of its body counts.
     """
@@ -87,9 +92,9 @@
 
 
 async def run(detector: Detector) -> None:
-    """Look whether the target is there whenever that is in doubt, until cancelled.
+    """Check whether the target has crashed whenever a check is requested, until cancelled.
 
-    :param watch: the state.
+    :param detector: the state.
     """
     while True:
         await detector.check_requested.wait()
@@ -98,7 +103,7 @@
         if target is None or target.is_dead:
             continue
         is_connection_refused = await _is_connection_refused(detector)
-        # Also the least time between two looks at a target that breaks connections and lives.
+        # Also limits how often a target is checked that breaks connections without crashing.
         await node_module.pause(detector.node, CONFIRM_DELAY_S)
         if not is_connection_refused or not await _is_connection_refused(detector):
             continue
@@ -123,7 +128,7 @@
 
 
 async def _report_crash(detector: Detector) -> None:
-    """Note what the target was running, and tell the service's other nodes."""
+    """Record the requests that the target was running, and report them to the service's nodes."""
     node = detector.node
     now = node.now()
     _forget_broken(detector, now)
@@ -133,16 +138,17 @@
         return
     crashes.record_crash(detector.quarantine, suspects, now)
     decision.record(log, logging.WARNING, "target-crashed", suspects=len(suspects))
-    # A node that is not told has one crash less to judge by.
+    # A node that misses the report only counts one crash less.
     names = push.list_service_peers(node)
     await push.send(node, detector.connect, names, CRASH_PATH, msgspec.json.encode(suspects))
 
 
 def receive_push(detector: Detector, body: bytes) -> bool:
-    """Take what another node's target was running when it crashed; return whether it was readable.
+    """Record the requests that another node's target was running when it crashed.
 
-    :param watch: the state.
-    :param body: the fingerprints.
+    :param detector: the state.
+    :param body: the fingerprints, as a JSON list.
+    :return: whether the body was readable.
     """
     decoded = decoding.decode(body, list[str])
     if not isinstance(decoded, result.Success):
--- a/src/ebonyvalve/request/deadline.py
+++ b/src/ebonyvalve/request/deadline.py
@@ -1,4 +1,4 @@
-"""Deadlines of requests: parsing, remaining time per hop, and the least worth starting."""
+"""Deadlines of requests: parsing, the remaining time for the next hop, and the minimum to start."""
 
 import re
 
@@ -8,7 +8,8 @@
 
 # Connecting to a target or node takes about 1 ms, and so does a reply between zones.
 MIN_REMAINING_S = 0.002
-# Subtracted at each hop, so that the node that answers gives up before the one that waits for it.
+# Subtracted at each hop, so that the node that runs a request times out before the node that waits
+# for it.
 HOP_MARGIN_S = 0.002
 _NUMBER = re.compile(r"[0-9]{1,9}", re.ASCII)
 
@@ -20,7 +21,7 @@
     :param limit_ms: the service's ``deadline_ms``; recovery after the loss of a node relies on no
         request running longer.
     :param now: seconds on the node's clock.
-    :return: the time, or ``BAD_REQUEST`` if the value is not a number of milliseconds.
+    :return: the time, or ``BAD_REQUEST`` if the value is not a whole number of milliseconds.
     """
     if text is None:
         return result.Success(now + limit_ms / 1000)
@@ -34,7 +35,7 @@
 
     :param deadline: seconds on the node's clock.
     :param now: seconds on the node's clock.
-    :return: the remaining milliseconds less a margin, or ``None`` if nothing remains for a hop.
+    :return: the remaining milliseconds less a margin, or ``None`` if no time remains for a hop.
     """
     remaining_ms = int((deadline - now - HOP_MARGIN_S) * 1000)
     return str(remaining_ms) if remaining_ms > 0 else None
--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -1,4 +1,4 @@
-"""A request at the target beside this node: admission, one attempt, and what the answer means."""
+"""Runs a request at this node's own target: admission, one attempt, and classifying the reply."""
 
 import collections.abc
 import contextlib
@@ -18,22 +18,29 @@
 log = logging.getLogger(__name__)
 
 UNKEYED = -1
-# Callers that are refused come back, mostly twice.
+# Weight of a refused request in the request rates. Callers that are refused retry, mostly twice.
 REFUSED_WEIGHT = 1 / 3
-# A report that renews the grant comes with each heartbeat.
+# Retry delay while the target has no valid grant; each of the target's heartbeats renews it.
 GRANT_RETRY_S = 0.2
-# A process that has stopped is started again within about a second.
+# Retry delay while this process stops; it is restarted within about a second.
 RESTART_S = 1.0
-# A leaving target may get new work for a while; this leaves room for what is on its way.
+# A leaving target gets new requests until this long before the end of its drain, so that requests
+# in flight can finish.
 HANDOVER_MARGIN_S = 0.4
-# A request that crashes targets is refused for about as long as it is remembered.
+# Retry delay for a quarantined request: about as long as the quarantine lasts.
 QUARANTINE_RETRY_S = 30.0
-# Cold targets have room again, and waiting requests become late, as time passes.
+# The queue is checked periodically because cold targets gain capacity, and waiting requests expire,
+# as time passes.
 QUEUE_CHECK_INTERVAL_S = 0.03
 
 
 class ReplyKind(enum.Enum):
-    """What an answer of the target is."""
+    """What a reply of the target says about the request.
+
+    ``ANSWER`` is passed on to the caller. ``NOT_RUN`` and ``WRONG_TARGET`` are refusals: the target
+    shed the request, or the request was meant for another lifetime. ``UNTRUSTED`` replies cannot be
+    shown to be the target's own reply to this request.
+    """
 
     ANSWER = "answer"
     NOT_RUN = "not-run"
@@ -43,10 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Dialect:
-    """How the target is spoken to.
+    """The target's HTTP conventions, as functions.
 
-    ``dress`` returns the headers of a request for a target with a time budget in seconds;
-    ``judge`` says what an answer is, ``identify`` which request it names, as seen from an id.
+    ``build_headers`` returns the headers of a request for a lifetime of the target and a time
+    budget in seconds. ``classify_reply`` classifies a reply. ``correlate`` says whether a reply
+    names the request with a given id.
     """
 
     build_headers: collections.abc.Callable[
@@ -58,7 +66,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Delivery:
-    """What requests at the target share."""
+    """State shared by the requests at this node's target.
+
+    ``waiters`` maps the tickets of queued requests to the events that wake them; ``expired`` holds
+    those that were woken because they can no longer meet their deadline.
+    """
 
     node: node_module.Node
     pool: pool.Pool
@@ -66,17 +78,16 @@
     crash_detector: crash.Detector
     waiters: dict[admission.Ticket, trio.Event] = dataclasses.field(default_factory=dict)
     expired: set[admission.Ticket] = dataclasses.field(default_factory=set)
-    # Around the orders under way, so that the end of the process can break them off.
+    # Shields of the non-idempotent requests in flight, lifted when the process ends.
     shields: set[trio.CancelScope] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Completion:
-    """What became of a request here.
+    """The result of a request at one node.
 
-    ``retry_after_s`` goes with a refusal, ``owner`` with one for a key that another node serves.
-    ``is_told`` says that the caller has its answer, or the
-    beginning of one that broke off.
+    ``retry_after_s`` is set for refusals, and ``owner`` when another node serves the key.
+    ``is_answered`` says whether the caller has the reply, or the beginning of one that broke off.
     """
 
     result: outcome.Outcome
@@ -87,7 +98,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class SlotUse:
-    """A request's use of one of the target's slots, from ``began_at`` on the node's clock."""
+    """A slot of the target that a request occupies since ``began_at``, seconds on the node's clock.
+
+    ``route`` names the request's route, by which latencies and sizes are tracked.
+    """
 
     ticket: admission.Ticket
     route: str
@@ -96,11 +110,11 @@
 
 
 async def run(delivery: Delivery, call: exchange.Call, caller: exchange.Caller) -> Completion:
-    """Run a request at the target beside this node.
+    """Run a request at this node's target.
 
-    :param delivery: the state.
+    :param delivery: the state shared by the target's requests.
     :param call: the request, with its rules.
-    :param caller: who gets the answer.
+    :param caller: receives the reply.
     """
     node = delivery.node
     rules = call.rules
@@ -137,7 +151,7 @@
         )
     slot_use = SlotUse(ticket=admitted.ticket, route=rules.route, began_at=node.now())
     try:
-        # The target may have left, or the keys moved, while the request waited.
+        # The target may have left, or its keys may have moved, while the request was queued.
         refusal = await _find_refusal(delivery, call, rules, may_wait=False)
         if refusal is not None:
             return refusal
@@ -147,7 +161,7 @@
 
 
 def _release_slot(delivery: Delivery, slot_use: SlotUse, *, is_answered: bool) -> None:
-    """Free a request's slot at the target, once, and let the next one run."""
+    """Release a request's slot and wake the next request; later calls have no effect."""
     if slot_use.is_released:
         return
     slot_use.is_released = True
@@ -169,7 +183,7 @@
     if node.is_ending:
         return Completion(result=outcome.refuse(outcome.Reason.STOPPING), retry_after_s=RESTART_S)
     if not node_module.is_open(node):
-        # Keys stay with a leaving target until they have been handed over.
+        # A leaving target serves its keys until they have been handed over.
         until = node.closed_at + node.place.drain_s - HANDOVER_MARGIN_S
         is_handing_over = rules.key_slot is not None and node.now() < until
         if not is_handing_over:
@@ -196,9 +210,9 @@
 
 
 def predict_grant_delay(node: node_module.Node) -> float:
-    """Return in how many seconds the target may have keys that are on their way to it.
+    """Return the seconds until the target may have the keys that are being moved to it.
 
-    It takes them with the answer to its next report.
+    The reply to the target's next report grants them.
 
     :param node: the node.
     """
@@ -208,7 +222,7 @@
 
 
 def _find_key_refusal(node: node_module.Node, key_slot: int) -> Completion | None:
-    """Return why a key can't be served here, or ``None`` if it can."""
+    """Return the refusal of a key that this node's target does not serve, or ``None``."""
     versioned_ledger = node.ledgers.get(node.place.service)
     target = node.target
     if versioned_ledger is None or target is None:
@@ -235,7 +249,7 @@
 
 
 async def _wait_in_queue(delivery: Delivery, ticket: admission.Ticket) -> bool:
-    """Wait in the queue; return whether the request may run."""
+    """Wait for admission; return whether the request may run, or ``False`` if it expired."""
     event = delivery.waiters[ticket] = trio.Event()
     try:
         await event.wait()
@@ -255,9 +269,9 @@
 
 
 def wake(delivery: Delivery) -> None:
-    """Let waiting requests run for which there is room now.
+    """Wake the queued requests that may run now and those that have expired.
 
-    :param delivery: the state.
+    :param delivery: the state shared by the target's requests.
     """
     woken = admission.dequeue(delivery.node.admission, delivery.node.now())
     for ticket in woken.late:
@@ -269,9 +283,9 @@
 
 
 async def run_queue(delivery: Delivery) -> None:
-    """Wake waiting requests as time passes, until cancelled.
+    """Check the queue periodically, and measure the lag of the event loop, until cancelled.
 
-    :param delivery: the state.
+    :param delivery: the state shared by the target's requests.
     """
     ticks = timer.subscribe(delivery.node.wakeups, period_s=QUEUE_CHECK_INTERVAL_S)
     while True:
@@ -299,7 +313,7 @@
             reply_kind[0] = ReplyKind.UNTRUSTED
         if reply_kind[0] is not ReplyKind.ANSWER:
             return None
-        # The target has done its work. How long the answer takes is up to the links.
+        # The target has finished its work. How long the reply's body takes depends on the network.
         size = wire.find_header(headers, b"content-length") or b""
         admission.record_answer(
             node.admission, slot_use.route, decoding.read_count(size), node.now()
@@ -340,9 +354,10 @@
 
 @contextlib.contextmanager
 def _shield_unrepeatable(delivery: Delivery, call: exchange.Call) -> collections.abc.Iterator[None]:
-    """Let an order that has begun go on when its caller leaves: it may be half done.
+    """Shield a non-idempotent request from cancellation when its caller leaves.
 
-    The attempt still ends at the request's deadline. Other requests pay for no scope.
+    It may be half done at the target. The attempt still ends at the request's deadline. Other
+    requests run without a scope, which saves its cost.
     """
     if call.rules is None or call.rules.is_repeatable or not call.is_body_buffered:
         yield
@@ -356,16 +371,16 @@
 
 
 def lift_shields(delivery: Delivery) -> None:
-    """Let the orders that have begun be cancelled, at the end of the process.
+    """Make non-idempotent requests in flight cancellable, at the end of the process.
 
-    :param delivery: the state.
+    :param delivery: the state shared by the target's requests.
     """
     for scope in delivery.shields:
         scope.shield = False
 
 
 def _record_untrusted(call: exchange.Call, answer: dispatch.Attempt) -> None:
-    """Log an answer that can't be the target's own to this request, or is not said to be."""
+    """Log a reply that cannot be shown to be the target's own reply to this request."""
     decision.record(
         log,
         logging.INFO,
--- a/src/ebonyvalve/request/dispatch.py
+++ b/src/ebonyvalve/request/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends one request to the local target or to one other node, and streams the answer back."""
+"""Sends one request on a connection to a target or node, and streams the reply to the caller."""
 
 import collections.abc
 import dataclasses
@@ -12,7 +12,7 @@
 from ebonyvalve.connection import liveness, pool, wire
 from ebonyvalve.request import correlation, exchange
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# Hop-by-hop headers (RFC 9110, section 7.6.1).
 CONNECTION_HEADERS = {
     b"connection",
     b"expect",
@@ -27,17 +27,21 @@
 }
 
 
-# Bytes that are read of answers that are not passed on, and how many of these there may be.
+# Limits for replies that are not passed on: their bytes, and their number before the expected one.
 MAX_STRAY_BYTES = 1_048_576
 MAX_STRAY_ANSWERS = 16
-# The rest of an answer that is not passed on; only the connection is lost without it.
+# Time to read the rest of a reply that is not passed on. When it is over, only the connection is
+# lost.
 SKIP_TIMEOUT_S = 0.25
-# Bytes that are read of an answer that announces no length.
+# Limit for the body of a reply that announces no length.
 MAX_UNANNOUNCED_BYTES = 67_108_864
 
 
 class Step(enum.Enum):
-    """How far an attempt came."""
+    """How far an attempt got.
+
+    ``WITHHELD`` replies were read but not passed on to the caller.
+    """
 
     RELAYED = "relayed"
     WITHHELD = "withheld"
@@ -50,13 +54,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Attempt:
-    """The state of one attempt.
-
-    ``is_sent`` says that bytes of the request may have reached the other end. ``is_body_open``
-    says that the caller's body was read beyond the held prefix, so that it cannot be sent again.
-    ``is_reply_begun`` says that the caller was sent a part of this answer.
-    ``naming`` says which request the answer names, ``is_first`` that its connection has brought no
-    answer before.
+    """The progress of one attempt.
+
+    ``is_sent`` says whether bytes of the request may have reached the other end. ``is_body_open``
+    says whether the caller's body was read beyond the buffered prefix, so that it cannot be sent
+    again. ``head_at_s`` is when the reply's head came, in seconds on the node's clock.
+    ``is_reply_begun`` says whether the caller was sent a part of the reply. ``reply_correlation``
+    says which request the reply names, and ``is_first`` whether it is the first reply on its
+    connection.
     """
 
     step: Step = Step.LOST_BEFORE_REPLY
@@ -65,16 +70,16 @@
     is_sent: bool = False
     is_body_open: bool = False
     is_reply_begun: bool = False
-    # What the caller's end has taken of the answer's body.
+    # Bytes of the reply's body that were handed to the caller's end.
     body_bytes: int = 0
     head_at_s: float | None = None
     reply_correlation: correlation.Correlation = correlation.Correlation.UNNAMED
     is_first: bool = True
 
 
-# Returns the headers to send to the caller, or None to withhold the answer.
+# Returns the headers to send to the caller, or None to withhold the reply.
 FilterReply = collections.abc.Callable[[int, exchange.Headers], exchange.Headers | None]
-# Returns which request an answer names, as seen from the one that was sent.
+# Returns whether a reply names the request that was sent.
 Correlate = collections.abc.Callable[[exchange.Headers], correlation.Correlation]
 
 
@@ -90,21 +95,21 @@
     awaits_continue: bool = False,
     correlate: Correlate | None = None,
 ) -> None:
-    """Send a request on a connection and pass its answer on.
+    """Send a request on a connection and pass its reply on.
 
-    The attempt is filled in as it goes, so that it is known how far it came when it is cancelled.
+    The attempt is updated as it proceeds, so that its progress is known when it is cancelled.
 
-    :param slot: a connection to the target or to another node.
+    :param connection: a connection to the target or to another node.
     :param call: the request.
     :param caller: the caller's end.
-    :param extra: headers to add.
-    :param relay: decides on the head of the answer.
+    :param extra_headers: headers to add.
+    :param filter_reply: decides from the head of the reply whether it is passed on.
     :param attempt: receives the result.
-    :param now: returns the time in seconds.
-    :param awaits_continue: keep the rest of the body until the other end asks for it, so that a
-        request that is turned away can be sent elsewhere.
-    :param identify: tells answers to other requests, which are skipped; without it, each answer
-        is taken for that to this request.
+    :param now: returns the node's clock in seconds.
+    :param awaits_continue: whether to send the rest of the body only after a "100 Continue", so
+        that a refused request can be sent elsewhere.
+    :param correlate: recognises replies to other requests, which are skipped; without it, any
+        reply is taken as the reply to this request.
     """
     if connection.conn is None:
         raise errors.InvariantError("a connection in use has no stream")
@@ -149,14 +154,14 @@
 
 
 def filter_headers(headers: exchange.Headers) -> exchange.Headers:
-    """Return the headers that may be passed on.
+    """Return the end-to-end headers, which may be passed on.
 
     :param headers: pairs with names in lower case.
     """
     named = wire.find_header(headers, b"connection") or b""
     listed = {name.strip().lower() for name in named.split(b",")}
     if wire.find_header(headers, b"transfer-encoding") is not None:
-        # Chunks override a length (RFC 9112, section 6.3), which need not be theirs.
+        # Chunked encoding overrides Content-Length (RFC 9112, section 6.3), which may be wrong.
         listed.add(b"content-length")
     return [
         (name, value)
@@ -189,7 +194,7 @@
         chunk = await caller.receive()
         liveness.record_awaiting(connection.state, now())
         if isinstance(chunk, result.Failure):
-            # The target must not take a cut body for a whole one: no end is sent.
+            # No end of the body is sent, so that the target cannot take it for complete.
             attempt.step = Step.BODY_BROKEN
             scope.cancel()
             return
@@ -238,7 +243,7 @@
             return
         await _stream_reply_body(connection, conn, caller, attempt, now)
     finally:
-        # The caller's end may have held the answer back.
+        # The caller's end may have buffered the reply without sending any of it.
         attempt.is_reply_begun = caller.is_reply_begun()
 
 
@@ -277,11 +282,11 @@
 
 
 def measure_head(head: h11.Response) -> int:
-    """Return the size of a head's headers in bytes.
+    """Return the size of a reply's headers in bytes.
 
-    h11 bounds incomplete heads only; one that arrives in a single read may be longer.
+    h11 bounds incomplete heads only; a head that arrives in a single read may be longer.
 
-    :param head: the head.
+    :param head: the reply's head.
     """
     return sum(len(name) + len(value) + 4 for name, value in head.headers)
 
@@ -321,7 +326,7 @@
 
 
 async def _skip_answer(conn: wire.Wire) -> None:
-    """Read an answer to its end, or to the limit, after which the connection can't be kept."""
+    """Read a reply to its end, or to a limit beyond which the connection cannot be reused."""
     bytes_before = conn.received_bytes
     with trio.move_on_after(SKIP_TIMEOUT_S):
         while conn.received_bytes - bytes_before <= MAX_STRAY_BYTES:
--- a/src/ebonyvalve/request/exchange.py
+++ b/src/ebonyvalve/request/exchange.py
@@ -1,4 +1,4 @@
-"""A request and its caller, free of HTTP types."""
+"""Defines requests, their rules and the caller's end, independent of the HTTP library."""
 
 import collections.abc
 import dataclasses
@@ -24,10 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rules:
-    """What may be done with a request, as its route says. Times are seconds.
+    """How a request may be handled, according to its route.
 
-    ``slot`` is its key if the service's targets hold keys. ``origin`` is the service of the VM
-    from which it came, ``kind`` its route, ``lifetime`` the target for which it is meant.
+    ``max_attempts`` bounds the attempts that may have run. ``objective_s`` is the latency goal in
+    seconds. ``origin_service`` is the service of the VM from which the request came. ``key_slot``
+    is the slot of its key (0 to 65535) if the service's targets hold keys. ``route`` is the name of
+    the route. ``lifetime`` is the start of the target for which the request is meant.
     """
 
     is_repeatable: bool
@@ -42,12 +44,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Call:
-    """A request as the decisions see it.
+    """A request, as routing and admission see it.
 
-    ``prefix`` is the beginning of the body, held so that the request can be recognised and sent
-    again; ``is_whole`` says that it is the whole body. ``length`` is ``None`` for a body of
-    unknown length. ``arrived_at_s`` is when the kernel had the head, which may have waited to be
-    read; a time budget counts from then.
+    ``prefix`` is the beginning of the body, buffered so that the request can be fingerprinted and
+    sent again; ``is_body_buffered`` says whether it is the whole body. ``length`` is in bytes, or
+    ``None`` for a body of unknown length. ``arrived_at_s`` is when the kernel received the head,
+    which may be some time before it was read; time budgets count from then. Times are seconds on
+    the node's clock.
     """
 
     request_id: str
@@ -71,9 +74,10 @@
     """The caller's end of a request.
 
     ``receive`` returns the next part of the body, empty at its end. ``reply`` sends the head of
-    the answer, ``write`` a part of its body and ``finish`` its end; they return whether the caller
-    is still there. ``wait_gone`` returns when the caller has closed the connection, ``find_gone``
-    says without waiting whether it has. ``is_begun`` says whether a part of an answer was sent.
+    the reply, ``write`` a part of its body and ``finish`` its end; they return whether the caller
+    is still connected. ``wait_gone`` returns when the caller has closed the connection; ``is_gone``
+    says without waiting whether it has. ``is_reply_begun`` says whether any byte of a reply was
+    sent.
     """
 
     receive: collections.abc.Callable[[], collections.abc.Awaitable[Chunk]]
@@ -87,10 +91,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Completion:
-    """The end of one attempt.
+    """The result of one attempt.
 
-    ``is_told`` says that the caller has had an answer or its beginning. ``headers`` go with the
-    answer that tells the caller otherwise. ``owner`` is the owner that another node named.
+    ``is_answered`` says whether the caller has had a reply or its beginning; if not, the refusal
+    that the caller gets carries ``headers``. ``is_body_open`` says whether the caller's body was
+    read beyond the buffered prefix. ``owner`` is the key's owner as named by another node.
     """
 
     result: outcome.Outcome
--- a/src/ebonyvalve/request/explanation.py
+++ b/src/ebonyvalve/request/explanation.py
@@ -1,4 +1,4 @@
-"""What would become of a request now, and why, for operators who ask a node."""
+"""Explains to operators how a node would route a request at present, and why."""
 
 import collections.abc
 
@@ -10,12 +10,12 @@
 
 
 def explain(entry: origin.Origin, host: str, path: str, key_slot: int | None) -> list[str]:
-    """Return the decisions about a request in their order, a line each.
+    """Return the routing decisions for a request in order, one line each.
 
-    :param entry: the state.
+    :param entry: the state of the entry point.
     :param host: the request's host.
     :param path: its path.
-    :param slot: its key, or ``None`` if it has none.
+    :param key_slot: the slot of its key, or ``None`` if it has no key.
     """
     config = entry.current.traffic
     if config is None:
--- a/src/ebonyvalve/request/fingerprints.py
+++ b/src/ebonyvalve/request/fingerprints.py
@@ -1,12 +1,13 @@
-"""Fingerprints of requests, by which requests that crash targets are recognised."""
+"""Computes the fingerprints by which requests that crash targets are recognised."""
 
 import hashlib
 
 from ebonyvalve.process import identity
 
-# The front buffers this much of a body; a longer one is told apart by its length only.
+# The HTTP server buffers this much of a body. Bodies that differ only beyond it are distinguished
+# by their length.
 HEAD_BYTES = 4096
-# Two different requests never share a fingerprint by chance.
+# 128 bits make a collision of two different requests negligible.
 DIGEST_BYTES = 16
 
 
@@ -31,7 +32,7 @@
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for field in (service, key or "", method, path, "" if length is None else str(length)):
         raw = field.encode("utf-8", "surrogateescape")
-        # Each field follows its length, so that no two lists of fields give the same input.
+        # Length prefixes keep different lists of fields from giving the same input.
         digest.update(len(raw).to_bytes(4, "big"))
         digest.update(raw)
     digest.update(head[:HEAD_BYTES])
--- a/src/ebonyvalve/request/front.py
+++ b/src/ebonyvalve/request/front.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers and for hops from other nodes."""
+"""The HTTP server for callers and for requests forwarded by other nodes."""
 
 import collections.abc
 import contextlib
@@ -19,11 +19,11 @@
 
 IDLE_TIMEOUT_S = 60.0
 HEAD_TIMEOUT_S = 10.0
-# A body part that does not come within this time ends the request, so that slow callers cannot
-# hold a target's slot.
+# A part of the body that does not come within this time ends the request, so that slow callers
+# cannot occupy a slot of a target.
 BODY_STALL_S = 10.0
 LINGER_S = 1.0
-# For all of the held beginning of a body; the rest is bound by the request's deadline.
+# Time limit for the buffered beginning of a body; the rest is bound by the request's deadline.
 PREFIX_TIMEOUT_S = 10.0
 PREFIX_BYTES = 4096
 
@@ -34,7 +34,7 @@
 REASON_HEADER = b"ebonyvalve-reason"
 OWNER_HEADER = b"ebonyvalve-owner"
 FENCE_HEADER = b"ebonyvalve-fence"
-# End of the node's lease in milliseconds of CLOCK_BOOTTIME, which node and target share.
+# End of the node's lease in milliseconds of CLOCK_BOOTTIME, which the node shares with its target.
 GRANT_UNTIL_HEADER = b"ebonyvalve-grant-until-ms"
 HEADER_PREFIX = b"ebonyvalve-"
 
@@ -46,13 +46,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Front:
-    """A listener's view of the program.
+    """The state and settings of one listener.
 
     ``find_limits`` returns the default deadline in seconds and the largest body in bytes of a
-    service. ``is_hop`` marks the listener that only other nodes may use. ``parse`` reads the head
-    of a request; the product's own form is :func:`parse_call`. Idle connections are closed after
-    ``idle_timeout_s``. With ``joins_head`` the head of an answer goes out together with what
-    follows it, which saves a write.
+    service. ``is_hop`` marks the listener that only other nodes may use. ``parse`` parses the head
+    of a request; the default is :func:`parse_call`. Idle connections are closed after
+    ``idle_timeout_s``. With ``coalesces_head`` the head of a reply is sent together with the first
+    part of its body, which saves a write.
     """
 
     now: collections.abc.Callable[[], float]
@@ -64,7 +64,7 @@
     coalesces_head: bool = False
     max_connections: int = 1000
     connections: int = 0
-    # Requests that have been read and not yet answered in full.
+    # Requests that have been read and whose replies are not complete yet.
     active_requests: int = 0
     is_stopping: bool = False
     idle_scopes: set[trio.CancelScope] = dataclasses.field(default_factory=set)
@@ -104,7 +104,7 @@
 
 
 def stop(front: Front) -> None:
-    """End idle connections; those with a request in flight end after it.
+    """Close idle connections; those with a request in flight close after it.
 
     :param front: the listener's state.
     """
@@ -149,7 +149,7 @@
 
 
 async def _receive_head(front: Front, conn: wire.Wire) -> h11.Request | wire.WireFailure | None:
-    """Return the next head; ``None`` when the connection ended between requests."""
+    """Return the next head, or ``None`` if the connection ended between requests."""
     if front.is_stopping:
         return None
     timeout_s = front.idle_timeout_s if conn.is_reused else HEAD_TIMEOUT_S
@@ -169,13 +169,13 @@
 
 
 def parse_call(front: Front, head: h11.Request) -> exchange.Call | str:
-    """Return the request that a head describes, or what is wrong with it.
+    """Return the request that a head describes, or a description of what is wrong with it.
 
     :param front: the listener's state.
     :param head: the head, as read by h11.
     """
     headers = list(head.headers)
-    # h11 bounds incomplete heads only; one that arrives in a single read may be longer.
+    # h11 bounds incomplete heads only; a head that arrives in a single read may be longer.
     if len(head.target) + sum(len(k) + len(v) + 4 for k, v in headers) > wire.MAX_HEAD_BYTES:
         return f"the head exceeds the limit of {wire.MAX_HEAD_BYTES} bytes"
     path = head.target.decode("ascii", "replace")
@@ -217,7 +217,7 @@
     :param headers: pairs with names in lower case.
     """
     if wire.find_header(headers, b"transfer-encoding") is not None:
-        # It overrides a length (RFC 9112, section 6.3).
+        # Chunked encoding overrides Content-Length (RFC 9112, section 6.3).
         return None
     return int(wire.find_header(headers, b"content-length") or 0)
 
@@ -248,14 +248,14 @@
     async def receive() -> exchange.Chunk:
         return await _receive_body(incoming)
 
-    # What waits to be written with the next part.
+    # The head of the reply, kept back until the first part of the body is written.
     pending: list[h11.Event] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
         extra = [] if not incoming.front.is_stopping else [(b"connection", b"close")]
         response = h11.Response(status_code=status, headers=headers + extra)
         if incoming.front.coalesces_head:
-            # The answer of an attempt that broke off before its body is replaced.
+            # Replaces the head of an earlier attempt's reply that broke off before its body.
             pending[:] = [response]
             return True
         return isinstance(await wire.send(conn, response), result.Success)
@@ -294,11 +294,11 @@
     if incoming.is_body_read:
         return result.Success(b"")
     if not incoming.is_continued and incoming.body_bytes >= PREFIX_BYTES:
-        # The sender of a hop holds the rest of the body back until the request is admitted.
+        # A node that forwards a request sends the rest of the body only after it is admitted.
         incoming.is_continued = True
         if incoming.front.is_hop:
             await wire.send_continue(incoming.conn)
-    # Most requests have no body, or one that came with the head.
+    # Most requests have no body, or one that came with the head, and need no time limit.
     ready = wire.poll(incoming.conn)
     with contextlib.nullcontext() if ready is not None else trio.move_on_after(BODY_STALL_S):
         received = result.Success(ready) if ready is not None else await wire.receive(incoming.conn)
@@ -326,7 +326,10 @@
 
 
 async def _linger(incoming: Incoming) -> None:
-    """Read on for a moment, since closing with unread data would destroy the answer in flight."""
+    """Read for a short time, since closing with unread data would reset the connection.
+
+    The caller could then lose the reply that is still in flight.
+    """
     with trio.move_on_after(LINGER_S):
         while True:
             chunk = await _receive_body(incoming)
@@ -350,7 +353,7 @@
 
 
 def build_outcome_headers(result_: outcome.Outcome) -> exchange.Headers:
-    """Return the headers that tell a caller what became of its request.
+    """Return the headers that report the outcome of a request to its caller.
 
     :param result_: the outcome.
     """
--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -1,4 +1,4 @@
-"""Takes one request from its arrival to its outcome, without any HTTP type."""
+"""Handles one request from its arrival to its outcome, independent of the HTTP library."""
 
 import collections.abc
 import dataclasses
@@ -25,9 +25,10 @@
 
 log = logging.getLogger(__name__)
 
-# A node that cannot be reached is tried again this often while its lease may still be live.
+# Retry interval for an unreachable node while its lease may still be valid.
 RECHECK_INTERVAL_S = 0.05
-# Nothing was sent for these, so waiting for the next owner cannot multiply load.
+# Reasons to wait for the key's next owner. No target ran the request, so that waiting and retrying
+# cannot multiply load.
 AWAITS_NEXT_OWNER = frozenset(
     {
         outcome.Reason.CONNECT_FAILED,
@@ -42,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Handler:
-    """What the requests of a node share."""
+    """State shared by the requests of a node."""
 
     here: site.Site
     snapshot: collections.abc.Callable[[], route.Snapshot | None]
@@ -64,16 +65,16 @@
     attempts: int = 0
     corrections: int = 0
     corrected: identity.NodeId | None = None
-    # An attempt ended without a known outcome, so that a later refusal cannot say "not run".
+    # An attempt ended with an unknown outcome, so a later refusal does not show "not run".
     may_have_run: bool = False
     tried: set[identity.NodeId] = dataclasses.field(default_factory=set)
     choice: routing.Route | None = None
 
 
 async def handle(shared: Handler, call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
-    """Run a request, or refuse it, and tell the caller which.
+    """Run or refuse a request, reply to the caller, and return the outcome.
 
-    :param shared: what the node's requests share.
+    :param shared: state shared by the node's requests.
     :param call: the request.
     :param caller: the caller's end.
     """
@@ -95,9 +96,9 @@
 
 
 async def _serve(shared: Handler, progress: Progress) -> outcome.Outcome:
-    """Serve a request; stop at once when the caller of a request that may be repeated leaves.
+    """Serve a request; cancel an idempotent one as soon as its caller leaves.
 
-    A request that must not run twice goes on, so that a resend learns its outcome.
+    A request that must not run twice continues, so that its outcome is recorded for a resend.
     """
     call = progress.call
     is_idempotent = call.method in progress.service.idempotent_methods
@@ -131,7 +132,7 @@
             return await _send_refusal(progress, choice.reason)
         if choice.choice is routing.Choice.REFUSE:
             if choice.reason is outcome.Reason.MOVED and not progress.call.is_hop:
-                # Both views are out of date; the next renewal brings a newer one.
+                # The routes of both nodes are out of date; the next renewal brings newer ones.
                 progress.corrections = 0
                 progress.corrected = None
                 if await _wait(here, progress.call, changed):
@@ -163,7 +164,7 @@
 
 
 def build_view(here: site.Site, key: identity.KeyId) -> routing.View:
-    """Return what the node knows at this moment for the routing of one request.
+    """Return what the node knows at present, for the routing of one request.
 
     :param here: the node's state.
     :param key: the key of the request.
@@ -236,10 +237,10 @@
 ) -> exchange.Completion:
     """Make one attempt at one node.
 
-    :param shared: what the node's requests share.
+    :param shared: state shared by the node's requests.
     :param progress: the request.
     :param node: this node or another one.
-    :param gate: the last word on an answer.
+    :param gate: decides last whether a reply is passed on.
     """
     here = shared.here
     call = progress.call
@@ -269,10 +270,10 @@
 async def _run_unkeyed(
     shared: Handler, progress: Progress, gate: dispatch.FilterReply
 ) -> exchange.Completion:
-    """Run a request of a service without keys here, in the node's own name.
+    """Run a request of a service without keys here, with the node itself as the shard.
 
-    The node must have a live lease all the same, since only then does it know the configuration
-    in force, and with it whether its zone is drained.
+    The node still needs a live lease: only then does it know the configuration in force, and thus
+    whether its zone is drained.
     """
     here = shared.here
 
@@ -307,7 +308,7 @@
 async def _prepare_retry(
     here: site.Site, progress: Progress, completion: exchange.Completion, changed: trio.Event
 ) -> bool:
-    """Wait as the rules ask before the next attempt; return whether there is one."""
+    """Decide whether there is another attempt, and wait for the delay that the rules set for it."""
     call = progress.call
     reason = completion.result.reason
     is_not_run = completion.result.verdict is outcome.Verdict.NOT_RUN
@@ -347,7 +348,7 @@
 async def _wait(
     here: site.Site, call: exchange.Call, changed: trio.Event, *, at_most_s: float | None = None
 ) -> bool:
-    """Wait for a change; return whether the deadline still allows an attempt."""
+    """Wait for a change of the node's state; return whether the deadline allows an attempt."""
     remaining_s = call.deadline_at_s - here.now()
     if remaining_s <= 0:
         return False
@@ -369,7 +370,7 @@
 async def _send_completion(
     caller: exchange.Caller, completion: exchange.Completion
 ) -> outcome.Outcome:
-    """Tell the caller that its request did not run, may have run, or ran before."""
+    """Reply to the caller that its request did not run, may have run, or has run before."""
     body = f"{completion.result.verdict.value}: {completion.result.reason.value}\n".encode()
     headers = [
         *front.build_outcome_headers(completion.result),
--- a/src/ebonyvalve/request/hedge.py
+++ b/src/ebonyvalve/request/hedge.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt elsewhere when the first one is late."""
+"""Hedged requests: a second attempt at another target when the first one is slow."""
 
 import collections.abc
 import dataclasses
@@ -14,7 +14,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Race:
-    """The state of a hedged request: the attempt whose answer passes, and the ended ones."""
+    """The state of a hedged request.
+
+    ``winner`` is the number of the attempt whose reply is passed on. ``decided`` is set when there
+    is a winner or an attempt has ended.
+    """
 
     winner: int | None = None
     scopes: dict[int, trio.CancelScope] = dataclasses.field(default_factory=dict)
@@ -23,7 +27,7 @@
 
 
 def accept_all(status: int, headers: exchange.Headers) -> exchange.Headers:
-    """Let an answer pass as it is.
+    """Pass a reply on unchanged.
 
     :param status: its status code.
     :param headers: its headers.
@@ -32,10 +36,10 @@
 
 
 def read_load(here: site.Site, member: message.Member) -> routing.TargetLoad:
-    """Return this node's own view of a target.
+    """Return the load of a target as measured at this node.
 
     :param here: the node's state.
-    :param member: the node beside the target.
+    :param member: the node of the target.
     """
     book = here.books[member.service]
     latency = book.targets.get(member.node)
@@ -49,11 +53,11 @@
 def list_others(
     here: site.Site, service: objects.Service, tried: collections.abc.Container[identity.NodeId]
 ) -> list[identity.NodeId]:
-    """Return the nodes that could run a request of a service without keys and have not had it.
+    """Return the untried nodes that could run a request, for a service without keys.
 
     :param here: the node's state.
     :param service: the service.
-    :param tried: the nodes that have had the request.
+    :param tried: the nodes that were tried already.
     """
     if service.is_keyed:
         return []
@@ -78,7 +82,7 @@
     :param here: the node's state.
     :param service: the service.
     :param call: the request.
-    :param tried: the nodes that have the request already.
+    :param tried: the nodes that were tried already.
     """
     return retry.hedge_after(
         is_keyed=service.is_keyed,
@@ -97,12 +101,12 @@
     *,
     after_s: float | None,
 ) -> exchange.Completion:
-    """Run an attempt, and a second one if the first is late; the first answer passes.
+    """Run an attempt, and a second one if the first is slow; the first reply is passed on.
 
     :param here: the node's state.
     :param first: the first attempt.
-    :param choose_other: returns the second attempt when the time has come.
-    :param after_s: seconds until then; ``None`` for never.
+    :param choose_other: returns the second attempt, or ``None`` if there is none.
+    :param after_s: seconds until the second attempt starts; ``None`` for never.
     """
     if after_s is None:
         return await first(gate=accept_all)
--- a/src/ebonyvalve/request/hop.py
+++ b/src/ebonyvalve/request/hop.py
@@ -1,4 +1,4 @@
-"""Passes a request on to the node beside another target."""
+"""Forwards a request to the node of another target."""
 
 from ebonyvalve.connection import pool, wire
 from ebonyvalve.process import identity, message, site, straggler
@@ -16,7 +16,7 @@
     connections: pool.Pool,
     gate: dispatch.FilterReply,
 ) -> exchange.Completion:
-    """Pass a request on to another node and its answer back.
+    """Forward a request to another node, and pass the reply to the caller.
 
     :param here: the node's state.
     :param call: the request.
@@ -24,7 +24,8 @@
     :param service: the service.
     :param member: the other node.
     :param connections: connections to other nodes.
-    :param gate: the last word on an answer; a hedged request uses it to let one answer pass.
+    :param gate: decides last whether a reply is passed on; a hedged request uses it to pass
+        on one reply only.
     """
     is_idempotent = call.method in service.idempotent_methods
     started_s = here.now()
@@ -60,8 +61,8 @@
 def read_outcome(status: int, headers: exchange.Headers) -> outcome.Outcome:
     """Return the outcome that another node reported.
 
-    :param status: the status code of its answer.
-    :param headers: the headers of its answer.
+    :param status: the status code of its reply.
+    :param headers: the headers of its reply.
     """
     verdict = wire.find_header(headers, front.OUTCOME_HEADER) or b"unknown"
     reason = wire.find_header(headers, front.REASON_HEADER) or b"none"
@@ -72,7 +73,7 @@
             status=status,
         )
     except ValueError:
-        # A later release may know more reasons.
+        # The other node may run a later release that has more reasons.
         return outcome.Outcome(
             verdict=outcome.Verdict.UNKNOWN, reason=outcome.Reason.NONE, status=status
         )
@@ -110,7 +111,7 @@
     attempt_result: attempts.AttemptResult,
     started_s: float,
 ) -> None:
-    """Note the latency; a cancelled attempt counts with the time it took until then."""
+    """Record the latency; a cancelled attempt counts with the time until its cancellation."""
     if not attempt_result.attempt.is_sent:
         return
     head_s = attempt_result.attempt.head_at_s
--- a/src/ebonyvalve/request/hop_headers.py
+++ b/src/ebonyvalve/request/hop_headers.py
@@ -1,4 +1,4 @@
-"""The headers with which one node sends a request to another, and those of the answer."""
+"""Builds and parses the headers that nodes exchange with forwarded requests and their replies."""
 
 import logging
 
@@ -16,7 +16,7 @@
 RULES_HEADER = b"ebonyvalve-rules"
 LOAD_HEADER = b"ebonyvalve-load"
 REFUSED_HEADER = b"ebonyvalve-refused"
-# The newest row of the operator that the sender has applied.
+# Version of the newest operator row that the sender has applied.
 VERSION_HEADER = b"ebonyvalve-seen"
 OWNER_HEADER = b"ebonyvalve-owner"
 RETRY_AFTER_HEADER = b"retry-after"
@@ -30,12 +30,12 @@
 
 
 def read_refusal(value: bytes, headers: exchange.Headers) -> delivery.Completion:
-    """Return what another node says of a request that it did not answer.
+    """Return the completion of a request that another node refused.
 
-    What can't be read promises nothing: the request may have run.
+    If the headers cannot be parsed, the outcome is unknown: the request may have run.
 
-    :param value: of the header with the verdict and the reason.
-    :param headers: all headers of the answer.
+    :param value: the value of the header with the verdict and the reason.
+    :param headers: all headers of the reply.
     """
     verdict, _, reason = value.partition(b":")
     said = VERDICTS.get(verdict)
@@ -56,7 +56,7 @@
 
 
 def strip_headers(headers: exchange.Headers) -> exchange.Headers:
-    """Return headers without those of the mesh.
+    """Return headers without the mesh's own.
 
     :param headers: pairs with names in lower case.
     """
@@ -64,7 +64,7 @@
 
 
 def build_headers(call: exchange.Call, now: float) -> exchange.Headers:
-    """Return the headers that tell another node what it needs of a request.
+    """Return the headers that forward a request's service, deadline and rules to another node.
 
     :param call: the request, with its rules.
     :param now: seconds on the node's clock.
@@ -86,7 +86,7 @@
 
 
 def is_hop(headers: exchange.Headers) -> bool:
-    """Return whether a request of another node is a caller's, and no message of its own.
+    """Return whether a request of another node is a forwarded one, not a message between nodes.
 
     :param headers: its headers.
     """
@@ -94,10 +94,11 @@
 
 
 def parse_headers(call: exchange.Call, headers: exchange.Headers) -> bool:
-    """Read what :func:`dress_hop` wrote into a request; return whether it was all there.
+    """Set a request's service, deadline and rules from the headers of :func:`build_headers`.
 
-    :param call: the request, as read.
+    :param call: the request, as received from another node.
     :param headers: its headers.
+    :return: whether all of the headers were present and valid.
     """
     found = {name: value for name, value in headers if name.startswith(HEADER_PREFIX)}
     service = decoding.read_name(found.get(SERVICE_HEADER, b""))
@@ -135,10 +136,10 @@
 
 
 def record_load(view: selection.TargetView, headers: exchange.Headers, now: float) -> None:
-    """Note the load that another node tells of its target; one that can't be read says nothing.
+    """Record the load that another node reports for its target; an invalid report is ignored.
 
-    :param view: what is known of the target.
-    :param headers: of the other node's answer.
+    :param view: the state of the target as seen here.
+    :param headers: headers of the other node's reply.
     :param now: seconds on the node's clock.
     """
     fields = (wire.find_header(headers, LOAD_HEADER) or b"").split(b",")
@@ -162,7 +163,7 @@
 
 
 def build_version_header(node: node_module.Node) -> exchange.Headers:
-    """Return the header that tells another node how new this node's configuration is.
+    """Return the header with the version of this node's operator rows.
 
     :param node: the node.
     """
@@ -172,11 +173,11 @@
 def record_version(
     node: node_module.Node, headers: exchange.Headers, by: identity.NodeId | None = None
 ) -> None:
-    """Note that another node may have news.
+    """Record the version of the operator rows that another node advertises.
 
     :param node: the node.
-    :param headers: of a request or an answer of the other node.
-    :param by: the other node, if that is known.
+    :param headers: headers of a request or reply of the other node.
+    :param by: the other node, if it is known.
     """
     version = decoding.read_count(wire.find_header(headers, VERSION_HEADER) or b"")
     if version is not None:
@@ -184,12 +185,12 @@
 
 
 def build_load_headers(node: node_module.Node) -> exchange.Headers:
-    """Return the header that tells another node the load of this node's target.
+    """Return the headers with the load of this node's target and its operator version.
 
     :param node: the node.
     """
     load = node_module.measure_load(node)
-    # A node that is behind answers late however fast its target is.
+    # A node whose event loop lags replies late however fast its target is.
     work_ms = max(1, int((load.work_s + lag.expect_delay(node.loop_lag)) * 1000))
     value = f"{load.busy},{load.slots},{work_ms},{load.offered:.3f},{load.request_load:.5f}"
     return [(LOAD_HEADER, value.encode()), *build_version_header(node)]
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -1,4 +1,4 @@
-"""Runs a request at the target beside this node: token, quarantine, admission, one attempt."""
+"""Runs a request at this node's target: token, quarantine, admission, and one attempt."""
 
 import collections.abc
 import dataclasses
@@ -36,8 +36,8 @@
 
 log = logging.getLogger(__name__)
 
-# A target may close a connection that was idle for long; a request that must not run twice takes
-# a newer one, because a loss after the first byte could only be answered with "unknown".
+# Idle limit for connections that carry requests that must not run twice. A target may close a
+# connection that was idle for long, and a loss after the first byte leaves the outcome unknown.
 MAX_IDLE_ONCE_S = 1.0
 
 TARGET_REASONS = {
@@ -52,9 +52,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Job:
-    """A request that this node serves, with the grant under which it does.
+    """A request that this node serves, and the grant under which it does.
 
-    ``is_granted`` tells whether the grant still holds. For services without keys ``shard`` names
+    ``is_granted`` says whether the grant is still valid. For services without keys, ``shard`` names
     the node and ``fence`` its incarnation.
     """
 
@@ -68,11 +68,12 @@
 
 
 async def run(here: site.Site, job: Job, gate: dispatch.FilterReply) -> exchange.Completion:
-    """Run a request at the local target, or say why it was not run.
+    """Run a request at the local target, or refuse it.
 
     :param here: the node's state.
     :param job: the request and the grant.
-    :param gate: the last word on an answer; a hedged request uses it to let one answer pass.
+    :param gate: decides last whether a reply is passed on; a hedged request uses it to pass
+        on one reply only.
     """
     call = job.call
     if not target.is_up(here.target) or here.target.address is None:
@@ -89,8 +90,8 @@
     answer = await _admit(here, call)
     if answer.ticket is None:
         return _refuse_admission(answer)
-    # From here to the beginning of the flight nothing waits, so that a release of the shard
-    # either sees the flight or has taken the grant away before.
+    # Nothing is awaited between this check and the start of the flight, so a release of the shard
+    # either sees the flight or has revoked the grant before.
     if not job.is_granted() or not target.is_up(here.target):
         _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
@@ -99,7 +100,7 @@
         if found.standing is not token.Standing.FRESH:
             _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
             if found.standing is token.Standing.IN_PROGRESS:
-                # A resend overtook this one while it waited for admission.
+                # A resend was admitted first while this request waited for admission.
                 return await run(here, job, gate)
             return _refuse_token(here, job, tokens, found)
     return await _make_attempt(here, job, tokens, fingerprint, answer.ticket, gate, is_once=is_once)
@@ -115,7 +116,7 @@
     *,
     is_once: bool,
 ) -> exchange.Completion:
-    """Make the attempt, and learn from it however it ends."""
+    """Make the attempt, and record its result however it ends."""
     started_s = here.now()
     flight = site.begin_flight(here, job.shard, fingerprint)
     attempt_result = attempts.AttemptResult()
@@ -176,7 +177,7 @@
 
 
 def _correlate(request_id: bytes, headers: exchange.Headers) -> correlation.Correlation:
-    """Return which request an answer names; a target need not name any."""
+    """Return whether a reply names the request; a target need not name any."""
     found = wire.find_header(headers, front.REQUEST_ID_HEADER)
     if found is None:
         return correlation.Correlation.UNNAMED
@@ -186,7 +187,7 @@
 
 
 def list_extra(call: exchange.Call, now_s: float) -> exchange.Headers:
-    """Return the headers that go with a request at each hop.
+    """Return the headers that are added to a request at each hop.
 
     :param call: the request.
     :param now_s: the time in seconds.
@@ -217,9 +218,9 @@
 async def _check_token(
     here: site.Site, job: Job, tokens: token_memory.Memory
 ) -> exchange.Completion | None:
-    """Return why the request may not run, or ``None`` if its token is fresh.
+    """Return the refusal of a request, or ``None`` if its token is fresh.
 
-    A resend that arrives while the first request runs waits for its outcome.
+    A resend that arrives while the first request is running waits for its outcome.
     """
     if job.call.token is None:
         headers = [(front.TOKEN_HEADER, issue(here, job, tokens))]
@@ -280,7 +281,7 @@
     here: site.Site, ticket: limit.Ticket, latency_s: float, reply: limit.Reply
 ) -> None:
     if ticket not in here.admission.running:
-        # The target was replaced meanwhile, and admission began anew with it.
+        # The target was replaced since, which reset admission.
         return
     woken = limit.release(here.admission, ticket, now=here.now(), latency_s=latency_s, reply=reply)
     site.wake_admitted(here, woken)
@@ -306,7 +307,7 @@
 
 
 def _conclude_cancelled(attempt_result: attempts.AttemptResult) -> exchange.Completion:
-    """Return the end of a request that was cancelled because the node lost its lease."""
+    """Return the completion of a request that was cancelled because the node lost its lease."""
     attempt = attempt_result.attempt
     reason = outcome.Reason.LEASE_LAPSED
     return exchange.Completion(
@@ -317,7 +318,7 @@
 
 
 def _record_unconfirmed(here: site.Site, job: Job, attempt_result: attempts.AttemptResult) -> None:
-    """Keep the shard for as long as the target may still run a request that was given up."""
+    """Keep the shard for as long as the target may still run a request that was abandoned."""
     attempt = attempt_result.attempt
     if not attempt.is_sent or attempt.head_at_s is not None:
         return
@@ -330,7 +331,7 @@
 def _find_recorded_outcome(
     attempt_result: attempts.AttemptResult, completion: exchange.Completion
 ) -> outcome.Outcome:
-    """Return what a resend shall learn: an answer counts although its caller has gone."""
+    """Return the outcome to report to a resend; a reply counts even if its caller has left."""
     attempt = attempt_result.attempt
     if not attempt.is_sent or _is_refused_by_target(attempt):
         return outcome.refuse(completion.result.reason)
@@ -340,7 +341,7 @@
 
 
 def _is_refused_by_target(attempt: dispatch.Attempt) -> bool:
-    """Return whether the target itself said that it did not run the request."""
+    """Return whether the target itself reported that it did not run the request."""
     return wire.find_header(attempt.headers, front.OUTCOME_HEADER) == b"not-run"
 
 
@@ -351,7 +352,7 @@
     ticket: limit.Ticket,
     started_s: float,
 ) -> None:
-    """Feed admission, the target's state, latency and load with the result."""
+    """Update admission, the target's state, latencies and load with the result."""
     now_s = here.now()
     attempt = attempt_result.attempt
     head_s = now_s if attempt.head_at_s is None else attempt.head_at_s
@@ -377,7 +378,7 @@
     attempt = attempt_result.attempt
     if _is_refused_by_target(attempt):
         said = wire.find_header(attempt.headers, front.REASON_HEADER)
-        # A stale fencing token says nothing about the target's load.
+        # A stale fencing token is not a sign of load.
         return limit.Reply.ABANDONED if said == b"stale-fence" else limit.Reply.SHED
     if attempt.head_at_s is not None:
         return limit.Reply.OK
@@ -397,7 +398,7 @@
 
 
 def _is_connection_lost(attempt_result: attempts.AttemptResult) -> bool:
-    """Return whether the target's end of the connection broke before an answer."""
+    """Return whether the target broke the connection before its reply was complete."""
     attempt = attempt_result.attempt
     is_broken = attempt.step in (
         dispatch.Step.LOST_BEFORE_REPLY,
@@ -418,13 +419,14 @@
     address: identity.Address,
     fingerprint: identity.Fingerprint,
 ) -> None:
-    """Find out whether the target died under a request whose connection broke."""
+    """Check whether the target crashed while running a request whose connection broke."""
     site.note_lost(here, fingerprint, here.now())
     opened = await pool.open_new(job.connections, address)
     if opened.value_or(None) is not None:
         await pool.discard(job.connections, address, opened.unwrap())
         return
-    # A refusal is proof on the same VM; whatever the reason, nothing can be sent there now.
+    # On the same VM a refused connection proves a crash; whatever the reason, nothing can be sent
+    # there now.
     count = site.note_crash(here, here.now())
     decision.record(
         log,
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -1,4 +1,4 @@
-"""A request where it enters the mesh: its route, the target that gets it, and repeats elsewhere."""
+"""Handles requests where they enter the mesh: routing, choice of target, and retries."""
 
 import collections.abc
 import dataclasses
@@ -26,20 +26,21 @@
 
 log = logging.getLogger(__name__)
 
-# A ledger that has just changed reaches all nodes within a few round trips to the store.
+# Base delay before a request is sent again for a key that moved. A changed ledger reaches all nodes
+# within a few round trips to the store.
 MOVED_RETRY_DELAY_S = 0.03
 MAX_ATTEMPTS = 6
-# The request has reached a target, which did not run it. Sending it on is a repeat like any other,
-# or targets that shed would be asked several times as often as they can bear.
+# The request reached a target, which did not run it. Another attempt is charged to the retry budget
+# like any other: otherwise, targets that shed load would get a multiple of the load they can bear.
 TARGET_REFUSALS = frozenset({outcome.Reason.TARGET_SHED, outcome.Reason.STALE_FENCE})
-# A request for a key may find it elsewhere, or back in a moment.
+# Reasons to retry a request for a key: the key may have a new owner, or be served again shortly.
 RETRYABLE_FOR_KEY = frozenset(
     {outcome.Reason.MOVED, outcome.Reason.STALE_FENCE, outcome.Reason.CONNECTION_LOST}
 )
-# All nodes of the service have been told of a request that crashes targets, and nobody waits for
-# one whose caller has left.
+# Reasons that end the retries. Every node of the service refuses a request that is quarantined for
+# crashing targets, and nobody waits for the reply when the caller has left.
 FINAL_REASONS = frozenset({outcome.Reason.QUARANTINED, outcome.Reason.CALLER_GONE})
-# The target would refuse the next request as well.
+# Refusals that say that the target would refuse the next request as well.
 LASTING_REFUSALS = frozenset(
     {
         outcome.Reason.QUEUE_FULL,
@@ -50,17 +51,17 @@
         outcome.Reason.BEHIND,
     }
 )
-# Gives a node that has just lost a target time to learn of it.
+# Retry delay announced to callers, in which a node can detect that it has just lost a target.
 RETRY_AFTER_S = 0.4
 RETRY_JITTER = 0.6
-# Tells callers that a request has not run and never will.
+# Tells callers that a request has not run and will not run later.
 NOT_RUN_STATUS = 503
 ABANDONED = outcome.unknown(outcome.Reason.CALLER_GONE)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Origin:
-    """What requests that enter the mesh here share."""
+    """State shared by the requests that enter the mesh at this node."""
 
     node: node_module.Node
     delivery: delivery.Delivery
@@ -70,7 +71,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestHead:
-    """What the router needs of a request's head. ``budget_s`` is the caller's time budget."""
+    """The parts of a request's head that routing needs.
+
+    ``timeout_s`` is the caller's own time limit in seconds.
+    """
 
     request_id: str
     host: str
@@ -79,11 +83,12 @@
 
 
 def resolve(origin: Origin, call: exchange.Call, head: RequestHead) -> outcome.Outcome | None:
-    """Give a request its route's service, rules and deadline; return why it is refused, if it is.
+    """Set a request's service, rules and deadline from its route.
 
-    :param origin: the state.
-    :param call: the request, as read.
-    :param head: what its head says.
+    :param origin: the state of this entry point.
+    :param call: the request, as parsed.
+    :param head: the parts of its head that routing needs.
+    :return: the refusal, or ``None`` if the request may proceed.
     """
     node = origin.node
     config = origin.current.traffic
@@ -116,12 +121,13 @@
 async def handle(
     origin: Origin, call: exchange.Call, caller: exchange.Caller, head: RequestHead
 ) -> outcome.Outcome:
-    """Answer a request.
+    """Route a request to targets until one answers, and reply to the caller.
 
-    :param origin: the state.
-    :param call: the request, as read.
-    :param caller: who gets the answer.
-    :param head: what its head says.
+    :param origin: the state of this entry point.
+    :param call: the request, as parsed.
+    :param caller: receives the reply.
+    :param head: the parts of its head that routing needs.
+    :return: the outcome, which has been logged and counted.
     """
     started_at = origin.node.now()
     if _is_abandoned(origin.node, caller):
@@ -143,7 +149,7 @@
     if is_caller_gone:
         result = outcome.unknown(outcome.Reason.CALLER_GONE)
     elif not is_reply_begun and result.reason is not outcome.Reason.CALLER_GONE:
-        # Callers that were refused together must not come back together.
+        # Jitter keeps callers that were refused at the same time from retrying at the same time.
         jitter = 1.0 + RETRY_JITTER * (origin.node.draw() - 0.5)
         await send_refusal(caller, result, completion.retry_after_s * jitter)
     _record(origin, call, result, started_at, tried, is_reply_begun=is_reply_begun)
@@ -151,9 +157,10 @@
 
 
 def _is_abandoned(node: node_module.Node, caller: exchange.Caller) -> bool:
-    """Return whether a request was read so late that its caller has left.
+    """Return whether the event loop lags and the caller has already left.
 
-    Its deadline counts from when it was read, because nothing says when it was sent.
+    The deadline cannot show this: it counts from when the request was received, because no header
+    says when it was sent.
     """
     return lag.is_lagging(node.loop_lag) and caller.is_gone()
 
@@ -164,14 +171,17 @@
     caller: exchange.Caller,
     work: collections.abc.Callable[[], collections.abc.Awaitable[delivery.Completion]],
 ) -> tuple[delivery.Completion, bool]:
-    """Run until the deadline or until the caller leaves; return the end and whether it has left.
+    """Run until the deadline or until the caller leaves.
+
+    A non-idempotent request whose body is still arriving is not cancelled when the caller leaves:
+    its target may have received part of it already.
 
-    An order whose body is still to come isn't ended: its target may have part of it already.
+    :return: the completion, and whether the caller has left.
     """
     completion = delivery.Completion(result=outcome.unknown(outcome.Reason.DEADLINE))
     is_gone = False
     async with trio.open_nursery() as nursery:
-        # Trio's clock need not be the node's.
+        # The node's clock may differ from Trio's clock.
         remaining_s = max(0.0, call.deadline_at_s - node.now())
         nursery.cancel_scope.deadline = trio.current_time() + remaining_s
 
@@ -191,7 +201,7 @@
 async def _try_all(
     origin: Origin, call: exchange.Call, caller: exchange.Caller, tried: list[identity.NodeId]
 ) -> delivery.Completion:
-    """Try targets until one answers or nothing more may be done."""
+    """Try targets until one answers or no further attempt is allowed."""
     rules = call.rules
     assert rules is not None
     node = origin.node
@@ -235,7 +245,8 @@
             if not is_new_owner:
                 await node_module.pause(node, MOVED_RETRY_DELAY_S * (attempt_index + 1))
     if unknown_count and completion.result.verdict is outcome.Verdict.NOT_RUN:
-        # An earlier attempt may have run, so that the refusal of the last one is not the truth.
+        # An earlier attempt may have run, so the refusal of the last one does not show that the
+        # request has not run.
         completion.result = outcome.unknown(outcome.Reason.CONNECTION_LOST)
     return completion
 
@@ -276,7 +287,7 @@
     *,
     owner: identity.NodeId | None,
 ) -> identity.NodeId | None:
-    """Return where a key is served: at the node that another one has named, or by the ledger."""
+    """Return the node that serves a key: ``owner`` if another node named it, else the ledger's."""
     versioned_ledger = node.ledgers.get(service)
     if versioned_ledger is None:
         return None
@@ -290,7 +301,7 @@
     node = origin.node
     view = node_module.read_view(node, name)
     if call.rules is not None and call.rules.key_slot is not None:
-        # Only this node's target holds the key, so that nothing but waiting is left.
+        # No other target holds the key, so a refusal is all that remains until this one recovers.
         if node.now() < view.full_until:
             return delivery.Completion(
                 result=outcome.refuse(outcome.Reason.QUEUE_FULL), retry_after_s=RETRY_AFTER_S
@@ -353,7 +364,7 @@
     if refusals:
         return refusals[0]
     completion = attempt.conclude(attempt_result)
-    # Answers to this node's own callers share its link with those of its target.
+    # Replies to this node's callers share its uplink with the replies of its target.
     link.record_sent(node.admission.uplink, attempt_result.attempt.body_bytes, node.now())
     if attempt.suggests_peer_loss(attempt_result):
         selection.record_failure(view, node.now())
@@ -365,11 +376,12 @@
 async def serve_hop(
     origin: Origin, call: exchange.Call, caller: exchange.Caller
 ) -> outcome.Outcome:
-    """Answer a request that another node has sent here.
+    """Run a request that another node forwarded at this node's target, and reply to that node.
 
-    :param origin: the state.
+    :param origin: the state of this node.
     :param call: the request, with its rules.
     :param caller: the other node.
+    :return: the outcome, which has been logged and counted.
     """
     node = origin.node
     started_at = node.now()
@@ -405,7 +417,7 @@
     completion: delivery.Completion,
     started_at: float,
 ) -> outcome.Outcome:
-    """Tell another node that its request was not answered, and why."""
+    """Refuse a request of another node, with the reason and this node's load in the headers."""
     node = origin.node
     refusal = f"{completion.result.verdict.value}:{completion.result.reason.value}"
     extra = [(hop_headers.REFUSED_HEADER, refusal.encode()), *hop_headers.build_load_headers(node)]
@@ -422,12 +434,12 @@
     retry_after_s: float,
     extra_headers: exchange.Headers | None = None,
 ) -> None:
-    """Tell the caller that its request was not answered.
+    """Reply to a caller whose request no target answered.
 
-    :param caller: who gets the answer.
-    :param result: why.
-    :param retry_after_s: when to come back; 0 for no hint.
-    :param extra: further headers.
+    :param caller: receives the reply.
+    :param result: the outcome, with the reason.
+    :param retry_after_s: seconds to announce in ``retry-after``; 0 for no header.
+    :param extra_headers: further headers.
     """
     body = f"{result.reason.value}\n".encode()
     headers = [
@@ -439,7 +451,7 @@
         headers.append((hop_headers.RETRY_AFTER_HEADER, f"{retry_after_s:.3f}".encode()))
     status = result.status
     if result.verdict is outcome.Verdict.NOT_RUN and status not in (400, 404):
-        # Whatever kept the request from running, this status promises that it has not run.
+        # Whatever kept the request from running, callers rely on this status for "not run".
         status = NOT_RUN_STATUS
     if result.verdict is not outcome.Verdict.NOT_RUN and status == NOT_RUN_STATUS:
         status = 502
@@ -456,7 +468,10 @@
     *,
     is_reply_begun: bool = False,
 ) -> None:
-    """Log and count the end of a request; ``is_told`` says that an answer to it had begun."""
+    """Log and count a finished request.
+
+    ``is_reply_begun`` says whether a part of a target's reply had been sent to the caller.
+    """
     node = origin.node
     is_answered = result.verdict is outcome.Verdict.ANSWERED
     took_s = node.now() - started_at
--- a/src/ebonyvalve/request/outcome.py
+++ b/src/ebonyvalve/request/outcome.py
@@ -1,11 +1,11 @@
-"""What became of a request."""
+"""Defines the outcome of a request: verdict, reason and HTTP status."""
 
 import dataclasses
 import enum
 
 
 class Verdict(enum.Enum):
-    """Whether the request ran, as far as the router knows."""
+    """Whether a request ran, as far as the router knows."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -39,13 +39,13 @@
     CALLER_GONE = "caller-gone"
     STOPPING = "stopping"
     DRAINED = "drained"
-    # The process is so short of processor time that the answer would come too late.
+    # The node is so short of processor time that the reply would come too late.
     BEHIND = "behind"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """The verdict on a request with its reason and HTTP status code."""
+    """The verdict on a request, the reason, and the HTTP status code of the reply."""
 
     verdict: Verdict
     reason: Reason = Reason.NONE
@@ -81,7 +81,7 @@
 def unknown(reason: Reason) -> Outcome:
     """Return the outcome of a request that may have run.
 
-    :param reason: why no complete answer came.
+    :param reason: why no complete reply came.
     """
     return Outcome(
         verdict=Verdict.UNKNOWN, reason=reason, status=STATUS_OF.get(reason, DEFAULT_STATUS)
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -1,7 +1,7 @@
-"""Finds out which nodes answer, by pings, and ends what waits for those that don't.
+"""Pings nodes that are slow to reply, and aborts the requests that wait for unreachable nodes.
 
-The kernel of a frozen machine goes on accepting connections and bytes, so only an answer shows that
-a node is there.
+The kernel of a machine whose processes are frozen still accepts connections and data, so only a
+reply shows that a node is alive.
 """
 
 import dataclasses
@@ -18,28 +18,30 @@
 
 log = logging.getLogger(__name__)
 
-# Followed by the name of the node that is meant: an address may have gone to another one.
+# Followed by the name of the intended node, since its address may now belong to another node.
 PING_PATH = "/ebonyvalve/ping/"
 ANSWERED_STATUS = 204
 OTHER_NODE_STATUS = 421
-# Most answers come within this; after it, a ping shows whether the node is there.
+# Most replies come within this time; a node that owes one for longer is pinged.
 SUSPECT_AFTER_S = 0.4
-# A node that is short of processor time answers within this, or is as good as lost to its callers.
+# A node that is short of processor time answers a ping within this time; one that does not is of no
+# use to its callers.
 PING_TIMEOUT_S = 0.35
-# It answers with a status only.
+# Limit for the reply to a ping, which is a status without a body.
 PING_BYTES = 1024
-# A node that has answered a ping may take its time for a request.
+# A node that has answered a ping is not pinged again for this long, however slow its requests are.
 TRUST_AFTER_PING_S = 1.0
-# What may not be sent again ends with an unknown outcome, and an answer that is arriving is lost;
-# both are given up only when a node has not answered for this long.
+# Aborting a non-idempotent request leaves its outcome unknown, and aborting a reply that is
+# arriving loses it. Both are done only when a node has not answered for this long.
 ABORT_ALL_AFTER_S = 1.5
 
 
 @dataclasses.dataclass(kw_only=True)
 class Monitor:
-    """What is known of the nodes' answers. Times are seconds on the node's clock.
+    """Reachability of the other nodes. Times are seconds on the node's clock.
 
-    ``lost`` maps the nodes that do not answer to when that was found.
+    ``answered_at`` maps nodes to their last answer to a ping. ``unreachable`` maps the nodes that
+    do not answer to when that was detected.
     """
 
     node: node_module.Node
@@ -50,9 +52,9 @@
 
 
 async def check_peers(monitor: Monitor) -> None:
-    """Ping the nodes that owe answers for too long and those that are lost.
+    """Ping the nodes whose replies are overdue and those that are unreachable.
 
-    :param watch: the state.
+    :param monitor: the state.
     """
     suspects = list_suspects(monitor)
     if not suspects:
@@ -63,9 +65,9 @@
 
 
 def list_suspects(monitor: Monitor) -> dict[identity.NodeId, identity.Address]:
-    """Return the nodes that are to be pinged now, and forget lost ones that are no members.
+    """Return the nodes to ping now, and forget unreachable ones that have left the mesh.
 
-    :param watch: the state.
+    :param monitor: the state.
     """
     members = monitor.node.members
     for name in [name for name in monitor.unreachable if name not in members]:
@@ -87,7 +89,7 @@
     request = http.Request(method="GET", path=PING_PATH + urllib.parse.quote(name, safe=""))
     status = await _fetch_status(monitor, address, request)
     if status == OTHER_NODE_STATUS:
-        # What is under way to this address is the other node's.
+        # Requests in flight to this address are not aborted: the other node answers them.
         record_unreachable(monitor, name, "another node has its address")
     else:
         record_ping(monitor, name, address, is_answered=status == ANSWERED_STATUS, sent_at=sent_at)
@@ -96,12 +98,12 @@
 async def _fetch_status(
     monitor: Monitor, address: identity.Address, request: http.Request
 ) -> int | None:
-    """Return the status that answers a ping, or ``None`` if none came in time.
+    """Return the status of the reply to a ping, or ``None`` if none came in time.
 
-    The connection and the answer have as much time each: both wait for what the other node's link
+    Connecting and replying have the same time limit each: both wait for what the other node's link
     is sending, and a frozen node accepts connections at once.
     """
-    # Answers that have come are read late when this process is behind.
+    # A lagging event loop reads replies late that have arrived in time.
     timeout_s = PING_TIMEOUT_S + min(ABORT_ALL_AFTER_S, lag.expect_delay(monitor.node.loop_lag))
     stream: trio.abc.Stream | None = None
     with trio.move_on_after(timeout_s):
@@ -123,10 +125,10 @@
 
 
 def answer_ping(node: node_module.Node, path: str) -> int:
-    """Return the status that answers a ping.
+    """Return the status code of the reply to a ping.
 
     :param node: the node that was pinged.
-    :param path: the ping's path; it names the node that was meant.
+    :param path: the ping's path, which names the intended node.
     """
     intended_node = urllib.parse.unquote(path.removeprefix(PING_PATH))
     return ANSWERED_STATUS if intended_node == node.place.node else OTHER_NODE_STATUS
@@ -140,14 +142,14 @@
     is_answered: bool,
     sent_at: float,
 ) -> None:
-    """Note whether a node has answered a ping.
+    """Record the result of a ping, and abort requests at a node that did not answer.
 
-    Bytes that came for a request meanwhile show as well that it is there.
+    Data that arrived for a request since the ping counts as an answer too.
 
-    :param watch: the state.
+    :param monitor: the state.
     :param name: the node.
-    :param address: where it was pinged.
-    :param is_answered: whether it has answered in time.
+    :param address: the address that was pinged.
+    :param is_answered: whether the node answered in time.
     :param sent_at: when it was pinged, in seconds on the node's clock.
     """
     if is_answered or pool.has_progressed(monitor.peers, address, sent_at):
@@ -159,17 +161,17 @@
     unreachable_s = record_unreachable(monitor, name, "no answer to a ping")
     now = monitor.node.now()
     patient_since = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
-    # A node that stops takes what is in flight to its end: little time is left to try it elsewhere.
+    # While this node stops, it aborts no request early: little time is left to retry elsewhere.
     since = patient_since if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
     pool.abort(monitor.peers, address, cutoff=since, lenient_cutoff=patient_since)
 
 
 def record_unreachable(monitor: Monitor, name: identity.NodeId, reason: str) -> float:
-    """Note that a node can't be reached; return for how many seconds that is known.
+    """Record that a node is unreachable; return for how many seconds it has been.
 
-    :param watch: the state.
+    :param monitor: the state.
     :param name: the node.
-    :param reason: what shows it.
+    :param reason: the evidence, for the log.
     """
     now = monitor.node.now()
     since = monitor.unreachable.setdefault(name, now)
--- a/src/ebonyvalve/request/retry.py
+++ b/src/ebonyvalve/request/retry.py
@@ -8,7 +8,7 @@
 MAX_ATTEMPTS = 3
 BACKOFF_S = 0.005
 
-# Reasons for which another attempt may succeed. The others repeat at every node.
+# Reasons after which another attempt may succeed. The others would recur at every node.
 TRANSIENT = frozenset(
     {
         outcome.Reason.NO_TARGET,
@@ -24,7 +24,7 @@
         outcome.Reason.DRAINED,
     }
 )
-# Reasons that say that the target or its node has too much to do. The same target gets no retry.
+# Reasons that show that the target or its node is overloaded. The same target gets no retry.
 OVERLOAD = frozenset(
     {
         outcome.Reason.QUEUE_FULL,
@@ -35,7 +35,7 @@
 
 
 class Retry(enum.Enum):
-    """Whether a request gets another attempt, or why not."""
+    """Whether a request gets another attempt, or why it does not."""
 
     RETRY = "retry"
     ANSWERED = "answered"
@@ -60,13 +60,13 @@
     remaining_s: float,
     bucket: budget.Budget,
 ) -> Retry:
-    """Decide whether a request is tried again; ``RETRY`` takes one attempt from the budget.
+    """Decide whether a request is retried; ``RETRY`` takes one attempt from the budget.
 
     :param result: the outcome of the last attempt.
     :param is_idempotent: whether the service lists the method as idempotent.
     :param is_body_held: whether the whole body can be sent again.
-    :param is_reply_started: whether the caller has got any byte of a reply.
-    :param has_other_target: whether a target that was not tried can run the request.
+    :param is_reply_started: whether the caller has received any byte of a reply.
+    :param has_other_target: whether an untried target can run the request.
     :param attempts: attempts made, at least 1.
     :param remaining_s: seconds until the deadline.
     :param bucket: the node's retry budget.
@@ -95,8 +95,8 @@
 def delay(attempts: int, draw: float, *, has_other_target: bool) -> float:
     """Return the seconds to wait before the next attempt.
 
-    Another target is tried at once. The same one is tried after a random time, so that the
-    requests which a fault interrupted do not come back together.
+    Another target is tried at once. The same one is tried after a random delay, so that requests
+    that failed at the same time are not retried at the same time.
 
     :param attempts: attempts made, at least 1.
     :param draw: a random number from 0 to 1.
@@ -116,9 +116,9 @@
 ) -> float | None:
     """Return after how many seconds without a reply a second attempt starts, or ``None`` for never.
 
-    When the time has come, ``budget.spend`` on the hedge budget decides whether it starts.
+    After that time, ``budget.spend`` on the hedge budget decides whether it starts.
 
-    :param is_keyed: whether the service has keys; a key has one owner and nobody to hedge with.
+    :param is_keyed: whether the service has keys; a key has one owner, so it cannot be hedged.
     :param is_idempotent: whether the service lists the method as idempotent.
     :param is_body_held: whether the whole body can be sent again.
     :param has_other_target: whether another target can run the request.
--- a/src/ebonyvalve/request/routing.py
+++ b/src/ebonyvalve/request/routing.py
@@ -8,17 +8,18 @@
 from ebonyvalve.request import outcome
 
 MAX_CORRECTIONS = 1
-# A target in another zone must promise this much less latency: the hop costs up to 1.5 ms and a
-# loss between zones, and the own view of a remote target is older.
+# A target in another zone is chosen only if its expected latency is lower by this factor: the hop
+# costs up to 1.5 ms and may lose the request between zones, and what this node knows of a remote
+# target is older.
 ZONE_FACTOR = 1.5
-# Candidates drawn per zone group.
+# Candidates drawn from the same zone, and from the other zones together.
 CANDIDATES = 2
-# A cold target bears about one request where a warm one bears its slots.
+# Latency factor of a cold target: it can run about one request where a warm one fills its slots.
 COLD_FACTOR = 4.0
 
 
 class Choice(enum.Enum):
-    """What is done with a request."""
+    """Where a request runs: here, at another node, after a wait, or not at all."""
 
     LOCAL = "local"
     HOP = "hop"
@@ -28,7 +29,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """A choice. ``node`` is where to hop, or, when refused as ``MOVED``, the owner if known."""
+    """A routing choice.
+
+    ``node`` is the node to hop to, or the key's owner, if known, when refused as ``MOVED``.
+    """
 
     choice: Choice
     reason: outcome.Reason = outcome.Reason.NONE
@@ -37,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetLoad:
-    """This node's own view of a target. ``latency_s`` is ``None`` before the first reply."""
+    """The load of a target as measured here; ``latency_s`` is ``None`` before the first reply."""
 
     in_flight: int = 0
     latency_s: float | None = None
@@ -46,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class View:
-    """What this node knows.
+    """What this node knows of the mesh.
 
-    ``find_fence`` returns the fencing token under which this node serves a shard at present:
-    ``None`` when it was not granted, was released, or the lease has expired. ``draw(n)`` returns a
-    random number from 0 to n - 1.
+    ``find_fence`` returns the fencing token under which this node serves a shard at present, or
+    ``None`` if the shard is not granted or was released, or the lease has expired. ``draw(n)``
+    returns a random number from 0 to n - 1.
     """
 
     node: identity.NodeId
@@ -137,8 +141,8 @@
 def choose_issuer(view: View, issuer: identity.NodeId, *, is_hop: bool) -> Route:
     """Choose where a request with a token for a service without keys runs: at the issuing node.
 
-    A leaving issuer still gets the request, because it alone knows whether the token was used. It
-    also decides whether the token is of its present incarnation, which this node may not know yet.
+    A leaving issuer still gets the request, because only it knows whether the token was used. It
+    also decides whether the token is from its present incarnation, which this node may not know.
 
     :param view: what this node knows.
     :param issuer: from ``token.find_issuer``.
@@ -162,9 +166,9 @@
 ) -> Route:
     """Choose the best target for a request without a token, for a service without keys.
 
-    Two candidates are drawn in the own zone and two elsewhere; the one with the least expected
-    latency runs the request. Two random candidates keep nodes with the same view from choosing the
-    same target at once.
+    Two candidates are drawn in this node's zone and two elsewhere; the one with the lowest expected
+    latency runs the request. Random candidates keep nodes with the same information from choosing
+    the same target at once.
 
     :param view: what this node knows.
     :param service: the service.
--- a/src/ebonyvalve/request/token.py
+++ b/src/ebonyvalve/request/token.py
@@ -1,4 +1,4 @@
-"""One-time tokens: a request with a token runs at most once."""
+"""Issues and checks one-time tokens: a request with a token runs at most once."""
 
 import base64
 import binascii
@@ -15,7 +15,7 @@
 
 
 class Standing(enum.Enum):
-    """What the memory of a shard knows about a token."""
+    """The state of a token according to the memory of a shard."""
 
     FRESH = "fresh"
     IN_PROGRESS = "in-progress"
@@ -26,13 +26,13 @@
     WRONG_SHARD = "wrong-shard"
     # The token did not run and cannot be remembered at present.
     MEMORY_FULL = "memory-full"
-    # The memory was handed over; the next owner knows the token.
+    # The memory was handed over to the next owner, which knows the token.
     MOVED = "moved"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finding:
-    """The standing of a token; ``used`` is the recorded outcome of a used one."""
+    """The standing of a token; ``used`` is the recorded outcome if the token was used."""
 
     standing: Standing
     used: outcome.Outcome | None = None
@@ -50,12 +50,12 @@
 
 REFUSALS = {
     Standing.EPOCH_LOST: outcome.unknown(outcome.Reason.TOKEN_EPOCH_LOST),
-    # The token may have been used before its memory was forgotten.
+    # The token may have been used before it was dropped from the memory.
     Standing.EXPIRED: outcome.unknown(outcome.Reason.TOKEN_EXPIRED),
     Standing.MALFORMED: outcome.refuse(outcome.Reason.BAD_REQUEST),
     Standing.WRONG_SHARD: outcome.refuse(outcome.Reason.BAD_REQUEST),
     Standing.MEMORY_FULL: outcome.refuse(outcome.Reason.TOKEN_MEMORY_FULL),
-    # Only the next owner can tell whether the token was used meanwhile.
+    # Only the next owner knows whether the token has been used since.
     Standing.MOVED: outcome.unknown(outcome.Reason.MOVED),
 }
 
@@ -87,7 +87,7 @@
 
 
 def write(token: Token) -> str:
-    """Return the text of a token.
+    """Return the text form of a token.
 
     :param token: its fields.
     """
@@ -95,7 +95,7 @@
 
 
 def parse(text: str) -> Token | None:
-    """Return the fields of a token, or ``None`` if the text is not that of a token.
+    """Return the fields of a token, or ``None`` if the text is not a valid token.
 
     :param text: as sent by a caller.
     """
@@ -161,7 +161,7 @@
     if token_memory.is_expired(state, reach, issued_s, now):
         return Finding(standing=Standing.EXPIRED)
     if issued_s > min(now - reach.offset_s + token_memory.CLOCK_TOLERANCE_S, reach.closed_s):
-        # No token is issued in the future; accepting one would lengthen its life.
+        # No token is issued in the future; accepting such a token would extend its lifetime.
         return Finding(standing=Standing.MALFORMED)
     if state.quota.count >= state.quota.limit:
         return Finding(standing=Standing.MEMORY_FULL)
@@ -191,11 +191,11 @@
 
 
 def finish(state: token_memory.Memory, text: str, result: outcome.Outcome, *, now: float) -> bool:
-    """Record what became of a request that :func:`begin` admitted; return whether it was recorded.
+    """Record the outcome of a request that :func:`begin` admitted; return whether it was recorded.
 
     A request that did not run leaves its token fresh. After an export nothing is recorded, since
-    the exported verdict ``unknown`` can no longer be changed. When the key was split off meanwhile,
-    the outcome goes to the memory of the key's own shard.
+    the exported verdict ``unknown`` can no longer be changed. If the key was split off since, the
+    outcome goes to the memory of the key's own shard.
 
     :param state: the memory passed to :func:`begin`.
     :param text: the token.
