--- a/tests/request/test_attempt.py
+++ b/tests/request/test_attempt.py
@@ -1,4 +1,4 @@
-"""What is logged of attempts that bring no whole answer."""
+"""Tests of single attempts: the log of incomplete replies, and callers that leave early."""
 
 import collections.abc
 import dataclasses
@@ -36,7 +36,7 @@
     closes: bool,
     ended_by: str,
 ) -> None:
-    """An answer that broke off left one line, which named neither the end that broke it nor why."""
+    """Guards against a log line for a broken reply that names neither cause nor progress."""
     caplog.set_level(logging.INFO)
     ours, theirs = trio.testing.memory_stream_pair()
 
@@ -73,9 +73,9 @@
 async def test_nothing_is_sent_for_a_caller_that_left_while_the_connection_was_opened(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Requests were sent on after their callers had left, and targets began to work on them.
+    """Guards against sending a request to a target after its caller has left.
 
-    The connection is kept, since new ones are priced and nothing was sent on it.
+    The connection is kept, since opening one is costly and nothing was sent on it.
     """
     ours, theirs = trio.testing.memory_stream_pair()
     opened: list[str] = []
--- a/tests/request/test_crash.py
+++ b/tests/request/test_crash.py
@@ -1,4 +1,4 @@
-"""Targets that crash, and the requests that make them."""
+"""Tests of crash detection and of the quarantine of requests that crash targets."""
 
 import collections.abc
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """The target's end: whether it refuses connections."""
+    """A target that can be made to refuse connections."""
 
     is_up: bool = True
     opened: int = 0
@@ -61,7 +61,10 @@
 async def test_broken_connection_shows_a_crash_without_a_further_request(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Its keys can go to others before the next caller finds out."""
+    """Guards against a crash that goes unnoticed until the next request.
+
+    The target's keys can be moved before the next caller meets the crash.
+    """
     target = Target(is_up=False)
     watch = build_watch(nursery, target)
     crash.record_broken_request(watch, build_call("/a"))
@@ -73,7 +76,7 @@
 async def test_target_that_breaks_off_answers_and_lives(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Broken answers are no crash, and cost few connections."""
+    """Guards against taking broken replies for a crash, and against a new connection for each."""
     target = Target()
     watch = build_watch(nursery, target)
     for _ in range(100):
@@ -87,7 +90,10 @@
 async def test_request_that_crashes_targets_is_refused(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """It comes again with the same path and body under another id, and reaches three targets."""
+    """Guards against a request that crashes one target after another.
+
+    Its retries have the same path and body but other ids; it is refused after three crashes.
+    """
     target = Target()
     watch = build_watch(nursery, target)
     for born in range(1, 4):
@@ -104,7 +110,7 @@
 
 
 async def test_gate_refuses_it_truthfully(autojump_clock: trio.testing.MockClock) -> None:
-    """Not run, and with a hint to stay away for long."""
+    """Guards against running a quarantined request, and against an early retry by its caller."""
     state = test_delivery.build_delivery()
     node = state.node
     assert node.target is not None
@@ -137,7 +143,7 @@
 async def test_what_other_nodes_tell_counts(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Each crash may be beside another node."""
+    """Guards against counting only the crashes of a node's own target."""
     watch = build_watch(nursery, Target())
     name = crash.fingerprint(build_call("/poison"))
     for _ in range(3):
--- a/tests/request/test_cut_answers.py
+++ b/tests/request/test_cut_answers.py
@@ -1,4 +1,4 @@
-"""Answers that break off on their way from another node, and what the caller gets."""
+"""Tests of replies from other nodes that break off, and of what the caller gets."""
 
 import collections.abc
 import dataclasses
@@ -16,7 +16,7 @@
 
 REQUEST = b"GET /orders/1 HTTP/1.1\r\nHost: x\r\n\r\n"
 SMALL = 1000
-# More than is held back, so that the caller gets the beginning before the end has come.
+# Larger than the reply buffer, so that the caller gets the beginning before the reply is complete.
 LARGE = 100_000
 SWEEP_S = 0.25
 
@@ -64,7 +64,7 @@
 
 
 def build_mesh(nursery: trio.Nursery, scripts: list[Script]) -> origin.Origin:
-    """Return a node whose peers answer requests by the scripts in turn, and no pings."""
+    """Return a node whose peers answer requests by the scripts in turn, and ignore pings."""
     entry = test_origin.build_origin(9.0)
     left = list(scripts)
 
@@ -93,7 +93,7 @@
 async def ask(
     monkeypatch: pytest.MonkeyPatch, scripts: list[Script], *, is_repeatable: bool
 ) -> tuple[int, int]:
-    """Return the status that a caller gets and the size of the body; 0 if there is no answer."""
+    """Return the status that a caller gets and the size of the body; 0 if there is no reply."""
     monkeypatch.setattr(origin, "resolve", lambda *_: None)
     head = origin.RequestHead(request_id="r1", host="x", timeout_s=None, key_slot=None)
 
@@ -146,9 +146,9 @@
 async def test_answer_that_was_held_back_is_fetched_elsewhere(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, fail: Script
 ) -> None:
-    """Issue 15: connections were closed without an answer when a hop broke off after the head.
+    """Guards against closing the caller's connection when a hop breaks off after the reply's head.
 
-    What was held back has not begun at the caller, so that the request can be sent again.
+    Issue 15. A buffered reply has not begun at the caller, so the request can be retried.
     """
     got = await ask(monkeypatch, [fail, answer], is_repeatable=True)
     assert got == (200, SMALL)
@@ -158,7 +158,10 @@
 async def test_order_whose_answer_was_held_back_is_told_so(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, fail: Script
 ) -> None:
-    """Issue 15: connections were closed without an answer when a hop broke off after the head."""
+    """Guards against a missing reply when the hop of a non-idempotent request breaks off.
+
+    Issue 15: the caller's connection was closed without a reply after the hop had sent the head.
+    """
     status, _ = await ask(monkeypatch, [fail], is_repeatable=False)
     assert status == 502
 
@@ -170,7 +173,10 @@
     script: Script,
     size: int,
 ) -> None:
-    """Issue 15: answers that had begun at their callers were cut when a busy node missed a ping."""
+    """Guards against cutting a reply that has begun at its caller when a busy node misses a ping.
+
+    Issue 15.
+    """
     got = await ask(monkeypatch, [script], is_repeatable=True)
     assert got == (200, size)
 
@@ -186,7 +192,10 @@
     is_caller_there: bool,
     is_passed_by: bool,
 ) -> None:
-    """A caller that left, or a target that broke off, had a node's keys refused for 0.3 s."""
+    """Guards against avoiding a node because of its callers or its target.
+
+    A caller that left, or a target that broke off, had the node's keys refused for 0.3 s.
+    """
 
     async def take(*_: object) -> bool:
         return is_caller_there
@@ -204,9 +213,9 @@
 
 @pytest.mark.parametrize("joins_head", [True, False])
 async def test_answer_whose_beginning_was_cancelled_is_replaced_whole(joins_head: bool) -> None:
-    """A caller got the head of the first answer with the body of the second.
+    """Guards against a reply with the head of one attempt and the body of the next.
 
-    The first one was given up in the turn in which its last byte came.
+    The first attempt was cancelled in the same scheduler step in which its last byte came.
     """
     near, far = trio.testing.memory_stream_pair()
     conn = wire.open_server(far)
@@ -239,6 +248,9 @@
 async def test_chunks_of_an_answer_override_its_length(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, is_repeatable: bool
 ) -> None:
-    """The caller's connection was closed without an answer, as the length was passed on."""
+    """Guards against passing on Content-Length beside a chunked body.
+
+    The caller's connection was closed without a reply.
+    """
     got = await ask(monkeypatch, [answer_with_two_lengths], is_repeatable=is_repeatable)
     assert got == (200, len(b"sixsix"))
--- a/tests/request/test_delivery.py
+++ b/tests/request/test_delivery.py
@@ -1,4 +1,4 @@
-"""Requests for keys that are on their way to the target beside this node."""
+"""Tests of requests at a node's own target: refusals, keys in transit, deadlines and slots."""
 
 import collections.abc
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 def build_delivery() -> delivery.Delivery:
-    """Return a node whose target has been given all keys but not been told of them."""
+    """Return a node whose target is assigned all keys but has not been granted them yet."""
     state = test_origin.build_origin(0.0).delivery
     node = state.node
     node.target = node_module.Target(
@@ -89,10 +89,10 @@
     close: collections.abc.Callable[[delivery.Delivery, exchange.Call], None],
     reason: outcome.Reason,
 ) -> None:
-    """The gate is the only way to the target, so that what it refuses has not run.
+    """Guards against sending the target a request that its node must refuse.
 
-    A node may be asked for a service that its address had before, for a zone that is evacuated,
-    or for a target that leaves. Nothing is sent to the target.
+    A node may get requests for the service that its address had before, for an evacuated zone, or
+    for a target that is leaving. They must be reported as not run, and nothing is sent.
     """
     state = build_delivery()
     node_module.notify_changed(state.node)
@@ -111,20 +111,26 @@
 async def test_request_that_ends_before_its_key_comes_is_refused_at_once(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Keys come with the next report; requests were held until their deadlines and refused then."""
+    """Guards against holding a request until its deadline when its key arrives too late for it.
+
+    Keys are granted with the next report of the target.
+    """
     state = build_delivery()
     started_at = trio.current_time()
     ended = await run(state, build_call(0.8))
     assert trio.current_time() == started_at
     assert ended.result.reason is outcome.Reason.LEASE_LAPSED
-    # The heartbeat of the place is 1 s.
+    # The node's heartbeat interval is 1 s.
     assert 1.0 <= ended.retry_after_s <= 1.5
 
 
 async def test_request_that_can_wait_for_its_key_does(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A caller that came back would find the same, later."""
+    """Guards against refusing a request that has time to wait until its key is granted.
+
+    A retry by the caller would meet the same state, only later.
+    """
     state = build_delivery()
     started_at = trio.current_time()
     ended = await run(state, build_call(2.0))
@@ -135,7 +141,7 @@
 async def test_target_is_told_no_more_time_than_is_left(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A request may have waited before it is sent."""
+    """Guards against a time budget that ignores the time that the request waited in the queue."""
     state = build_delivery()
     node_module.notify_changed(state.node)
     told: list[float] = []
@@ -158,9 +164,9 @@
 async def test_slot_is_free_while_an_answer_is_on_its_way(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Targets idled while large answers waited for narrow links, and requests were refused.
+    """Guards against slots that stay occupied while a large reply is sent over a slow link.
 
-    A target has done its work when its answer begins.
+    A target has finished its work when its reply begins; it was idle while requests were refused.
     """
     state = build_delivery()
     node_module.notify_changed(state.node)
--- a/tests/request/test_endless.py
+++ b/tests/request/test_endless.py
@@ -1,4 +1,4 @@
-"""Answers of a target that come without end, until the router closes the connection."""
+"""Tests of endless replies: the router reads them to a limit and closes the connection."""
 
 import collections.abc
 import dataclasses
@@ -15,10 +15,10 @@
 from tests.request import test_refusals
 
 DEADLINE_S = 2.0
-# Fast enough that no limit of time ends a stream before its limit of bytes.
+# Short enough that a stream reaches its byte limit before any time limit.
 FLOOD_PAUSE_S = 0.0005
 TRICKLE_PAUSE_S = 0.05
-# One read may go beyond a limit, and what was read before it counts once more.
+# Tolerance: one read may exceed a limit, and data read before the limit began counts again.
 SLACK_BYTES = 2 * wire.READ_BYTES
 SLACK_S = 0.1
 
@@ -78,7 +78,7 @@
 async def run(
     target: Target, *, method: str = "POST"
 ) -> tuple[delivery.Completion, float, origin.Origin]:
-    """Send one order to the target; return its end and how long it took."""
+    """Send one non-idempotent request to the target; return its completion and duration."""
     entry = test_refusals.build_entry(test_refusals.Target(nursery=target.nursery))
     entry.delivery.pool = pool.Pool(connect=target.connect, now=trio.current_time)
     call = test_refusals.build_order("r1")
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     ("first", "unit", "most_bytes", "verdict"),
     [
-        # What comes before the answer.
+        # Data before the reply.
         (b"", b"a", HEAD_BYTES, LOST),
         (OK, b"X-A: a\r\n", HEAD_BYTES, LOST),
         (OK + b"X-A: ", b"a", HEAD_BYTES, LOST),
@@ -101,13 +101,13 @@
         (b"", FOREIGN, STRAY_BYTES, LOST),
         (OK + OTHER + CHUNKED, CHUNK, STRAY_BYTES, LOST),
         (OK + OTHER + CHUNKED, TINY_CHUNK, STRAY_BYTES, LOST),
-        # A refusal that names the request is the truth, however it goes on.
+        # A refusal that names the request is trusted, whatever follows its head.
         (REFUSAL, CHUNK, STRAY_BYTES, NOT_RUN),
         (REFUSAL, TINY_CHUNK, STRAY_BYTES, NOT_RUN),
-        # A success without a seal is not the target's.
+        # A success without a seal does not come from the target.
         (OK + OWN + CHUNKED, CHUNK, STRAY_BYTES, LOST),
         (OK + OWN + b"\r\n", b"a", STRAY_BYTES, LOST),
-        # A sealed answer that announces no length.
+        # A sealed reply that announces no length.
         (OK + OWN + SEALED + CHUNKED, CHUNK, STREAM_BYTES, LOST),
         (OK + OWN + SEALED + b"Content-Length: 9\r\n" + CHUNKED, CHUNK, STREAM_BYTES, LOST),
         (OK + OWN + SEALED + b"\r\n", b"a", STREAM_BYTES, LOST),
@@ -124,7 +124,7 @@
     most_bytes: int,
     verdict: outcome.Verdict,
 ) -> None:
-    """Such an answer held a place at the target, and the loop, until the request's deadline."""
+    """Guards against an endless reply that occupies a slot and the loop until the deadline."""
     target = Target(first=first, unit=fill(unit), pause_s=FLOOD_PAUSE_S, nursery=nursery)
     ended, took_s, entry = await run(target)
     assert ended.result.verdict is verdict
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize(
     ("method", "first"),
     [
-        # The length that is announced here is that of another answer's body.
+        # A reply to HEAD announces the length of a body that is not sent.
         ("HEAD", OK + OWN + SEALED + b"Content-Length: 9\r\n\r\n"),
         ("POST", b"HTTP/1.1 204 No\r\n" + OWN + SEALED + b"\r\n"),
         ("POST", b"HTTP/1.1 304 No\r\n" + OWN + SEALED + b"\r\n"),
@@ -148,7 +148,7 @@
 async def test_endless_bytes_after_an_answer_are_not_read(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, method: str, first: bytes
 ) -> None:
-    """They belong to no request, and the answer that they follow is whole."""
+    """Guards against reading data that follows a complete reply and belongs to no request."""
     target = Target(first=first, unit=fill(b"a"), pause_s=FLOOD_PAUSE_S, nursery=nursery)
     ended, _, _ = await run(target, method=method)
     assert ended.result.verdict is ANSWERED
@@ -176,7 +176,7 @@
     most_s: float,
     verdict: outcome.Verdict,
 ) -> None:
-    """A byte now and then passes every limit of idle time."""
+    """Guards against a reply whose occasional bytes keep it below every idle limit."""
     target = Target(first=first, unit=unit, pause_s=TRICKLE_PAUSE_S, nursery=nursery)
     ended, took_s, entry = await run(target)
     assert ended.result.verdict is verdict
@@ -189,7 +189,7 @@
 async def test_long_answer_with_an_announced_length_passes_whole(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """The limits are for what the target does not announce."""
+    """Guards against applying the limits to a reply whose length is announced."""
     length = STREAM_BYTES + wire.READ_BYTES
     first = OK + OWN + SEALED + b"Content-Length: %d\r\n\r\n" % length
     target = Target(first=first, unit=fill(b"a"), pause_s=FLOOD_PAUSE_S, nursery=nursery)
@@ -201,7 +201,7 @@
 async def test_tiny_pieces_let_other_tasks_run(
     side: collections.abc.Callable[[trio.abc.Stream], wire.Wire],
 ) -> None:
-    """One read brings thousands of pieces; the loop stood still until all were handled."""
+    """Guards against blocking the event loop for the thousands of pieces that one read brings."""
     ours, theirs = trio.testing.memory_stream_pair()
     conn = side(ours)
     if conn.http.our_role is h11.CLIENT:
@@ -235,7 +235,7 @@
 async def test_endless_refusal_of_a_node_is_read_to_a_limit(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, unit: bytes
 ) -> None:
-    """The way between nodes has the same limits as that to a target."""
+    """Guards against connections between nodes without the limits of those to targets."""
     first = b"HTTP/1.1 503 No\r\nEbonyvalve-Refused: not-run:queue-full\r\n" + CHUNKED
     target = Target(first=first, unit=fill(unit), pause_s=FLOOD_PAUSE_S, nursery=nursery)
     entry = test_refusals.build_entry(test_refusals.Target(nursery=nursery))
--- a/tests/request/test_explanation.py
+++ b/tests/request/test_explanation.py
@@ -1,4 +1,4 @@
-"""What operators are told of a request that a node would get."""
+"""Tests of the explanation that operators get of how a request would be routed."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def build_origin() -> origin.Origin:
-    """One target for each service; the keys are with the first node."""
+    """Return an origin with one target for each service; the first node owns the keys."""
     entry = test_origin.build_origin(1.0)
     found = configuration.decode(mesh.build_config(5))
     assert isinstance(found, traffic.TrafficConfig)
@@ -40,7 +40,7 @@
 
 
 async def test_owner_of_a_key_is_explained() -> None:
-    """Route, range, fence, holder and the state of its target."""
+    """Guards against an explanation without the route, range, fence, holder or target state."""
     text = "\n".join(explanation.explain(build_origin(), mesh.HOST, "/lookup/7", 300))
     assert "route 'r/lookup/' of configuration 5" in text
     assert "key 300 is in 0 to 65535 of ledger 12" in text
@@ -50,7 +50,7 @@
 
 
 async def test_reasons_for_passing_by_a_target_are_named() -> None:
-    """Evacuated zones and failures."""
+    """Guards against an explanation that does not say why a target is avoided."""
     entry = build_origin()
     entry.node.evacuated = frozenset({identity.ZoneId("z1")})
     view = node_module.read_view(entry.node, test_origin.NAMES[1])
@@ -69,7 +69,7 @@
 
 
 async def test_range_without_a_holder_is_explained() -> None:
-    """The node that held it is gone, and its lease has not ended."""
+    """Guards against a wrong owner when the holder is gone and its lease has not ended yet."""
     entry = build_origin()
     del entry.node.members[test_origin.NAMES[0]]
     text = "\n".join(explanation.explain(entry, mesh.HOST, "/lookup/7", 300))
--- a/tests/request/test_foreign.py
+++ b/tests/request/test_foreign.py
@@ -1,4 +1,4 @@
-"""Answers that belong to an earlier request on the same connection."""
+"""Tests of replies that belong to an earlier request on the same connection."""
 
 import dataclasses
 
@@ -72,7 +72,7 @@
 async def test_second_answer_is_never_taken_for_the_next(
     autojump_clock: trio.testing.MockClock, extra_id: str | None, is_late: bool
 ) -> None:
-    """A target may answer twice; the second answer comes where the next one is expected."""
+    """Guards against taking a target's second reply to a request for the reply to the next one."""
     ours, theirs = trio.testing.memory_stream_pair()
 
     async def connect(_: str) -> trio.abc.Stream:
@@ -87,14 +87,14 @@
     assert slot.conn is not None and wire.recycle(slot.conn)
     await theirs.send_all((extra if is_late else b"") + build_answer("r2", b"second"))
     ended = await ask(slot, "r2", got)
-    # An answer that names no request is not passed on; whether the next one is, is left open.
+    # A reply that names no request is not passed on; the next one may be passed on or not.
     assert got in ([b"first", b"second"], [b"first"])
     if extra_id is not None:
         assert ended.step is dispatch.Step.RELAYED
 
 
 async def test_held_answer_of_a_broken_attempt_is_forgotten() -> None:
-    """A repeat after a broken answer must not begin with what came of it."""
+    """Guards against a retry whose reply begins with the buffered part of the broken one."""
     sent: list[object] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
@@ -123,9 +123,10 @@
 async def test_connection_of_a_half_written_body_is_not_used_again(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """An early answer ends the request while the end of its body is being written.
+    """Guards against reusing a connection on which a request body was not sent completely.
 
-    What the other end has not got of it would be taken from the next request.
+    An early reply ends the request while its body is being written. The other end would take the
+    missing part from the next request.
     """
     ours, theirs = trio.testing.memory_stream_pair()
     sends = 0
--- a/tests/request/test_front.py
+++ b/tests/request/test_front.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP front against malformed and hostile callers."""
+"""Tests of the HTTP server against malformed input and hostile callers."""
 
 import functools
 
@@ -41,7 +41,7 @@
 
 
 async def exchange_bytes(listener: front.Front, data: bytes, *, ends: bool = True) -> bytes:
-    """Send bytes on one connection and return all that comes back before it closes."""
+    """Send bytes on one connection and return everything received before it closes."""
     near, far = trio.testing.memory_stream_pair()
     received = bytearray()
     async with trio.open_nursery() as nursery:
@@ -107,7 +107,10 @@
 async def test_caller_that_sends_ahead_has_not_left(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Its request was given up, and the connection closed without an answer, after 32 KB more."""
+    """Guards against taking a caller that sends ahead for one that has left.
+
+    After 32 KB of further data its request was cancelled and the connection closed without a reply.
+    """
 
     async def answer_if_there(call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
         with trio.move_on_after(1.0):
@@ -130,7 +133,10 @@
 async def test_answer_that_is_cancelled_before_a_byte_is_sent_has_not_begun(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """An answer came at the deadline: the connection was closed with no answer instead of a 504."""
+    """Guards against a connection that is closed without a reply instead of a 504.
+
+    A reply that came at the deadline was cancelled before any byte was sent, and counted as begun.
+    """
 
     async def answer_late(call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
         with trio.CancelScope() as scope:
@@ -152,7 +158,7 @@
 
 
 async def test_slow_body_is_cut_off(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a caller that holds a slot by sending its body for ever."""
+    """Guards against a caller that occupies a slot by never finishing its body."""
     head = b"POST /a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 10000\r\n\r\n" + b"x" * 100
     start_s = trio.current_time()
     await exchange_bytes(build_front(), head, ends=False)
@@ -160,7 +166,7 @@
 
 
 async def test_connections_are_bounded(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against callers that open more connections than the node bears."""
+    """Guards against callers that open more connections than the node can handle."""
     listener = build_front(max_connections=1)
     near, far = trio.testing.memory_stream_pair()
     async with trio.open_nursery() as nursery:
@@ -176,7 +182,7 @@
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(data=st.one_of(st.binary(max_size=400), st.data()))
 def test_no_input_ends_the_process(data: object) -> None:
-    """Guards against bytes that raise out of the connection, which would end the process."""
+    """Guards against input that raises an exception, which would end the process."""
     raw = data if isinstance(data, bytes) else mutate(data)
     trio.run(exchange_bytes, build_front(), raw, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -198,7 +204,10 @@
 async def test_trickling_body_does_not_hold_a_connection(
     autojump_clock: trio.testing.MockClock, unit: bytes
 ) -> None:
-    """Each part of a body may take some seconds; its first 4096 bytes came in 11 hours."""
+    """Guards against a caller that occupies a connection by sending its body byte by byte.
+
+    Each part may take some seconds, so that the first 4096 bytes took 11 hours.
+    """
     near, far = trio.testing.memory_stream_pair()
     listener = build_front()
 
@@ -226,6 +235,6 @@
     ],
 )
 def test_chunks_override_a_length(headers: exchange.Headers, length: int | None) -> None:
-    """A body in chunks was passed on with the length beside them, which need not be theirs."""
+    """Guards against passing on Content-Length, which may be wrong, beside a chunked body."""
     assert front.find_length(headers) == length
     assert (b"content-length", b"5") not in dispatch.filter_headers(headers) or length == 5
--- a/tests/request/test_handler.py
+++ b/tests/request/test_handler.py
@@ -1,4 +1,4 @@
-"""Tests of the path of one request, on in-memory streams."""
+"""Tests of the handling of one request from end to end, on in-memory streams."""
 
 import collections.abc
 import dataclasses
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class World:
-    """Two nodes, one target beside each, joined by in-memory streams."""
+    """Two nodes with a target each, connected by in-memory streams."""
 
     nursery: trio.Nursery
     target: toy.Toy = dataclasses.field(default_factory=lambda: toy.Toy(node=HERE))
@@ -62,7 +62,7 @@
 
 
 def own_shard(node: lease.Node, owner: identity.NodeId, fence: int) -> lease.Node:
-    """Give every partition to one node, with a lease that does not lapse."""
+    """Assign every partition to one node, with a lease that does not expire."""
     shards = [identity.name_partition(SERVICE, identity.Partition(n)) for n in range(256)]
     held = lease.HeldShard(fence=identity.Fence(fence))
     routes = {
@@ -189,7 +189,7 @@
 async def test_large_body_is_streamed_whole(
     owner: identity.NodeId, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against lost or repeated parts of bodies longer than the held prefix."""
+    """Guards against lost or repeated parts of bodies longer than the buffered prefix."""
     parts = [bytes([65 + number % 26]) * 50_000 for number in range(20)]
     async with trio.open_nursery() as nursery:
         world = build_world(nursery, owner)
@@ -310,7 +310,7 @@
 
 
 async def test_frozen_target_ends_at_deadline(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against callers that wait for ever on a target that accepts and never answers."""
+    """Guards against callers that wait forever for a target that accepts but never replies."""
     async with trio.open_nursery() as nursery:
         world = build_world(nursery)
         toy.freeze(world.target)
@@ -340,7 +340,7 @@
 
 
 async def test_stale_route_is_corrected_once(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against endless hops between nodes whose views are out of date."""
+    """Guards against endless hops between nodes whose routes are out of date."""
     async with trio.open_nursery() as nursery:
         world = build_world(nursery, THERE)
         away = identity.NodeId("vm-3")
@@ -355,7 +355,7 @@
 async def test_request_after_an_abandoned_one_is_not_stale(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Guards against a grant that is told as ended because a caller had left without an answer."""
+    """Guards against sending the target an expired grant after a caller left without a reply."""
     async with trio.open_nursery() as nursery:
         world = build_world(nursery)
         world.target.service_time_s = 0.3
@@ -368,7 +368,7 @@
         took_s = trio.current_time() - start_s
         nursery.cancel_scope.cancel()
     assert (status, headers["ebonyvalve-reason"]) == (200, "none")
-    # A refused first attempt would be repeated after a pause.
+    # A refused first attempt would be retried after a delay.
     assert took_s == pytest.approx(0.3, abs=0.01)
 
 
@@ -376,7 +376,7 @@
 async def test_drained_node_takes_no_new_work(
     since_s: float, outcome: str, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against new work in a drained zone whose shards cannot move, as in a store outage."""
+    """Guards against running requests in a drained zone whose shards cannot move (store outage)."""
     async with trio.open_nursery() as nursery:
         world = build_world(nursery)
         await trio.sleep(5.0)
--- a/tests/request/test_hedge.py
+++ b/tests/request/test_hedge.py
@@ -61,7 +61,7 @@
     expected: list[str],
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Guards against two answers to one request, and against hedges beyond the budget."""
+    """Guards against two replies to one request, and against hedges beyond the budget."""
     took: list[str] = []
     first = build_try(took, "first", first_s)
     second = build_try(took, "second", second_s, is_lost=is_lost)
--- a/tests/request/test_origin.py
+++ b/tests/request/test_origin.py
@@ -1,4 +1,4 @@
-"""Attempts at several targets: what may be repeated, and what the shared budget allows."""
+"""Tests of retries at several targets, their budget, and the replies to callers."""
 
 import collections.abc
 import dataclasses
@@ -28,7 +28,7 @@
 ORDERS = identity.ServiceId("orders")
 NAMES = [identity.NodeId(f"n{number}") for number in range(4)]
 
-# For what ends before anything is said to the caller or asked of it.
+# For tests that never use the caller's end.
 NO_CALLER = exchange.Caller(
     receive=None, reply=None, write=None, finish=None, wait_gone=None, is_gone=None  # type: ignore[arg-type]
 )
@@ -136,18 +136,18 @@
 @pytest.mark.parametrize(
     ("results", "level", "is_repeatable", "tries"),
     [
-        # A refusal by a node costs its target nothing, so that all may be asked.
+        # A refusal by a node costs its target nothing, so all nodes may be tried.
         ([FULL], 0.0, False, 4),
         ([FULL, ANSWERED], 0.0, False, 2),
-        # Targets that shed: each further one draws on the budget that all nodes share.
+        # Targets that shed load: each further attempt is charged to the retry budget.
         ([SHED], 0.0, False, 1),
         ([SHED], 2.0, False, 3),
         ([SHED, ANSWERED], 1.0, False, 2),
-        # A lost answer: only what may run twice is sent again, within the route's attempts.
+        # A lost reply: only idempotent requests are retried, up to the route's limit of attempts.
         ([LOST], 9.0, False, 1),
         ([LOST], 9.0, True, 2),
         ([LOST], 0.0, True, 1),
-        # Nobody waits for an answer.
+        # The caller has left, so there is no retry.
         ([GONE], 9.0, True, 1),
         ([FULL, GONE], 9.0, False, 2),
     ],
@@ -159,7 +159,7 @@
     is_repeatable: bool,
     tries: int,
 ) -> None:
-    """Load pattern: all targets of a service shed half of what they get."""
+    """Guards against retries that multiply the load when all targets of a service shed requests."""
     tried, _ = await run(monkeypatch, results, level=level, is_repeatable=is_repeatable)
     assert tried == tries
 
@@ -167,9 +167,10 @@
 async def test_repeats_of_a_service_keep_to_its_own_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Load pattern: one service of several turns requests away, and has a tenth of all requests.
+    """Guards against a retry budget that is shared by services.
 
-    The budget counts by service, so that what other services earn is not for its repeats.
+    One of several services sheds its requests, which are a tenth of all; its retries must not spend
+    what the requests of the other services earn.
     """
     entry = build_origin(10.0)
     budget.set_share(entry.node.budget, 0.1)
@@ -193,7 +194,7 @@
 async def test_node_is_not_blamed_for_a_caller_that_leaves(
     monkeypatch: pytest.MonkeyPatch, is_sent: bool
 ) -> None:
-    """Nodes with sound targets were passed by, because callers had left amid their answers."""
+    """Guards against avoiding a healthy node because callers left during its replies."""
     entry = build_origin(0.0)
 
     async def leave(*args: typing.Any) -> None:
@@ -210,14 +211,14 @@
 async def test_refusal_after_a_lost_answer_is_no_refusal(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An answer that says "not run" must be true of all attempts."""
+    """Guards against reporting "not run" when an earlier attempt may have run."""
     _, ended = await run(monkeypatch, [LOST, FULL], level=9.0, is_repeatable=True)
     assert ended.verdict is outcome.Verdict.UNKNOWN
 
 
 @pytest.mark.parametrize("reason", list(outcome.Reason))
 async def test_refusals_promise_no_more_than_they_keep(reason: outcome.Reason) -> None:
-    """A request that has not run for reasons of ours is told 503, whatever they are."""
+    """Guards against a status other than 503 for a request that the router did not run."""
     told: list[int] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
@@ -232,7 +233,10 @@
 
 @pytest.mark.parametrize("reason", list(outcome.Reason))
 async def test_doubts_promise_nothing(reason: outcome.Reason) -> None:
-    """Callers send an order again after 408, 421, 429 and 503, because it has not run."""
+    """Guards against a status that callers take for "not run" when the request may have run.
+
+    Callers send a non-idempotent request again after 408, 421, 429 and 503.
+    """
     told: list[int] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
@@ -245,7 +249,7 @@
 
 
 async def test_changed_settings_reach_the_repeats_of_all_services() -> None:
-    """Guards against buckets that keep the burst of a smaller mesh or the share of old settings."""
+    """Guards against budgets that keep the burst of a smaller mesh or the share of old settings."""
     repeats = budget.ServiceBudgets(share=0.1, burst=8.0)
     before = budget.find_budget(repeats, ORDERS)
     budget.divide_burst(repeats, 16.0, 4)
--- a/tests/request/test_quarantine.py
+++ b/tests/request/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Fingerprints and the quarantine of requests that crash targets."""
+"""Tests of the fingerprints and the quarantine of requests that crash targets."""
 
 import hypothesis
 from hypothesis import strategies
@@ -42,7 +42,7 @@
 
 
 def test_every_request_in_flight_is_quarantined_for_a_minute() -> None:
-    """Guards against the crashing request being the one that was left out."""
+    """Guards against a quarantine that omits the crashing request of several in flight."""
     state = ward.Quarantine()
     names = [identity.Fingerprint(str(index)) for index in range(10)]
     ward.record_crash(state, names, 100.0)
@@ -70,7 +70,7 @@
 
 
 def test_lost_heartbeat_reports_again() -> None:
-    """Guards against an entry that other nodes never learn of, and one that is too long."""
+    """Guards against an entry that other nodes never get, and against one that lasts too long."""
     state = ward.Quarantine()
     ward.record_crash(state, [ONE], 0.0)
     assert ward.export_unreported(state, 1.0) == ward.export_unreported(state, 1.0) != []
--- a/tests/request/test_reachability.py
+++ b/tests/request/test_reachability.py
@@ -1,4 +1,4 @@
-"""Nodes that stop answering: without power, frozen, or only slow."""
+"""Tests of nodes that stop answering: powered off, frozen, or only slow."""
 
 import dataclasses
 
@@ -18,9 +18,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Peer:
-    """Another node. A frozen one accepts connections and bytes, and answers nothing.
+    """Another node, which when frozen accepts connections and data but answers nothing.
 
-    ``delay_s`` is what each packet from it waits for in the queue of its link.
+    ``delay_s`` is the time in seconds that each packet from it waits in the queue of its link.
     """
 
     is_frozen: bool = False
@@ -48,7 +48,7 @@
 
 
 async def send(watch: reachability.Monitor, *, is_repeatable: bool = True) -> pool.PooledConnection:
-    """Begin a request that the node does not answer."""
+    """Send a request that the node does not answer."""
     slot = (await pool.acquire(watch.peers, ADDRESS, p99_s=None)).unwrap()
     slot.is_repeatable = is_repeatable
     liveness.record_awaiting(slot.state, trio.current_time())
@@ -64,9 +64,10 @@
 async def test_requests_to_a_frozen_node_end(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Frozen nodes on a day of Andinaflota: 923 requests were held until their deadlines.
+    """Guards against requests that wait for a frozen node until their deadlines.
 
-    Connections to a frozen machine open as usual, so that a new one proved nothing.
+    923 requests did so on one day at Andinaflota. A frozen machine accepts connections as usual, so
+    a new connection does not show that the node is alive.
     """
     watch = build_watch(nursery, Peer(is_frozen=True))
     slot = await send(watch)
@@ -79,7 +80,10 @@
 async def test_orders_to_a_frozen_node_have_more_patience(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """An order that is given up ends with an unknown outcome and can't be tried elsewhere."""
+    """Guards against aborting non-idempotent requests as early as others.
+
+    Their outcome is then unknown, and they cannot be retried at another node.
+    """
     watch = build_watch(nursery, Peer(is_frozen=True))
     slot = await send(watch, is_repeatable=False)
     await watch_for(watch, 1.5)
@@ -92,9 +96,9 @@
 async def test_stopping_node_takes_lookups_to_their_end(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Issue 15, Darkroom grown: a lookup was given up 0.24 s after SIGTERM while its target worked.
+    """Guards against a stopping node that aborts a request after one missed ping.
 
-    Its node had missed a ping.
+    Issue 15, Darkroom grown: a lookup was aborted 0.24 s after SIGTERM while its target worked.
     """
     watch = build_watch(nursery, Peer(is_frozen=True))
     watch.node.is_stopping = True
@@ -109,7 +113,7 @@
 async def test_slow_answers_are_waited_for(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A node with a long queue answers pings, and what it was sent is left alone."""
+    """Guards against aborting requests at a node that is slow but answers pings."""
     watch = build_watch(nursery, Peer())
     slot = await send(watch)
     await watch_for(watch, 3.0)
@@ -120,9 +124,10 @@
 async def test_node_behind_a_busy_link_is_not_lost(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Issue 15: pings waited behind large answers, and nodes were lost that sent all the while.
+    """Guards against taking a node for unreachable while its link is busy with large replies.
 
-    A ping on a connection of its own passes the queue twice.
+    Issue 15: the replies to pings waited behind them. A ping on its own connection waits in the
+    link's queue twice.
     """
     watch = build_watch(nursery, Peer(delay_s=0.24))
     slot = await send(watch)
@@ -134,7 +139,7 @@
 async def test_process_that_is_behind_reads_answers_late(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A node short of processor time must not take the others for lost."""
+    """Guards against a node short of processor time that takes the others for unreachable."""
     peer = Peer()
     watch = build_watch(nursery, peer)
     watch.node.loop_lag.late_s = 0.05
@@ -147,7 +152,7 @@
 async def test_process_that_is_far_behind_finds_a_frozen_node(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Patience for its own lateness must not outlast the time that requests have."""
+    """Guards against an allowance for the event loop's lag that exceeds the requests' deadlines."""
     watch = build_watch(nursery, Peer(is_frozen=True))
     watch.node.loop_lag.late_s = 1.0
     await send(watch)
@@ -160,7 +165,10 @@
 async def test_node_that_wakes_is_used_again(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """It is pinged until it answers, so that no request has to find out."""
+    """Guards against an unreachable node that only a failing request would test again.
+
+    The node is pinged until it answers.
+    """
     peer = Peer(is_frozen=True)
     watch = build_watch(nursery, peer)
     await send(watch)
@@ -177,7 +185,7 @@
 async def test_lost_nodes_that_have_left_are_forgotten(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, is_member: bool
 ) -> None:
-    """A machine that was replaced is not pinged for ever."""
+    """Guards against endless pings of a machine that was replaced."""
     watch = build_watch(nursery, Peer(is_frozen=True))
     await send(watch)
     await watch_for(watch, 1.5)
@@ -189,9 +197,9 @@
 async def test_another_node_at_the_address_of_a_lost_one(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Incident inc-c150 of Andinaflota: its answers were taken for those of the lost node.
+    """Guards against taking the answers of another node at the same address for the lost node's.
 
-    What is under way to the address is meant for the node that has it now.
+    Incident inc-c150 of Andinaflota. Requests in flight to the address belong to its present node.
     """
     peer = Peer(is_frozen=True)
     watch = build_watch(nursery, peer)
--- a/tests/request/test_refusals.py
+++ b/tests/request/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of a target that writes an earlier one once more on a kept connection."""
+"""Tests of a faulty target that sends an earlier refusal again on a reused connection."""
 
 import dataclasses
 import logging
@@ -15,15 +15,15 @@
 from ebonyvalve.request import delivery, exchange, hop_headers, origin, outcome
 from tests.request import test_origin
 
-# How long the faulty target takes between the extra answer and the real one.
+# Seconds between the faulty target's extra reply and the real one.
 WORK_S = 0.05
 
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """A target that refuses the ids in ``full`` once, and repeats refusals as ``when`` says.
+    """A target that refuses the ids in ``full`` once, and repeats refusals according to ``when``.
 
-    ``ran`` lists the ids of requests that it began to run.
+    ``ran`` lists the ids of the requests that it started to run.
     """
 
     status: int = 503
@@ -31,7 +31,7 @@
     when: str = "before-answer"
     full: set[str] = dataclasses.field(default_factory=set)
     answer_headers: str = ""
-    # Written before all answers but the first on a connection.
+    # Sent before every reply but the first on a connection.
     strange: bytes = b""
     ran: list[str] = dataclasses.field(default_factory=list)
     opened: int = 0
@@ -111,7 +111,7 @@
 
 
 def build_entry(target: Target) -> origin.Origin:
-    """Return a node beside the faulty target, both of the service of orders."""
+    """Return a node of the orders service whose own target is the faulty one."""
     entry = test_origin.build_origin(2.0)
     node = entry.node
     node.place = dataclasses.replace(node.place, service=test_origin.ORDERS)
@@ -165,10 +165,10 @@
     is_named: bool,
     when: str,
 ) -> None:
-    """Callers were told "not run, try again" for orders that a target was running (REFUSED).
+    """Guards against reporting "not run" for an order that a target is running (REFUSED).
 
-    A target writes its refusal of an order once more on the kept connection, where the answer to
-    another order, or to the same one sent again, is expected.
+    The target sends its refusal of an order again on the reused connection, where the reply to
+    another order, or to a retry of the same one, is expected.
     """
     target = Target(nursery=nursery, status=status, is_named=is_named, when=when, full={"r1"})
     entry = build_entry(target)
@@ -178,7 +178,7 @@
     second = await ask(entry, again)
     assert target.ran == [again]
     assert second.verdict is not outcome.Verdict.NOT_RUN
-    # What can be told apart costs no answer.
+    # A refusal that is recognised as another request's does not cost the reply.
     assert second.verdict is outcome.Verdict.ANSWERED
 
 
@@ -189,7 +189,10 @@
     caplog: pytest.LogCaptureFixture,
     status: int,
 ) -> None:
-    """Targets name the request, so that an answer without a name may be that to any earlier one."""
+    """Guards against accepting a reply that names no request on a reused connection.
+
+    Targets name the request in their replies; one without a name may belong to any earlier request.
+    """
     strange = build_refusal(status, None)
     if status in (404, 500):
         strange = strange.replace(b"X-Not-Executed: 1\r\n", b"")
@@ -199,7 +202,7 @@
     assert (await ask(entry, "r1")).verdict is outcome.Verdict.ANSWERED
     assert (await ask(entry, "r2")).verdict is outcome.Verdict.UNKNOWN
     assert target.ran == ["r1", "r2"]
-    # Operators see why the outcome is unknown.
+    # The log shows operators why the outcome is unknown.
     assert [one.message for one in caplog.records if one.message == "answer-spoiled"]
     assert (await ask(entry, "r3")).verdict is outcome.Verdict.ANSWERED
     assert target.opened == 2
@@ -210,7 +213,7 @@
     autojump_clock: trio.testing.MockClock,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An order ran at a second instance while the first was running it (TWICE)."""
+    """Guards against an order that runs at a second target while the first runs it (TWICE)."""
     target = Target(nursery=nursery, is_named=False, full={"r1"})
     other = Target(nursery=nursery)
     entry = build_entry(target)
@@ -229,7 +232,7 @@
 async def test_target_can_not_speak_for_its_node(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """What a faulty target wrote must not be taken for its node's refusal of an order that ran."""
+    """Guards against taking a faulty target's headers for a refusal by its node."""
     target = Target(nursery=nursery, answer_headers="Ebonyvalve-Refused: not-run:target-shed\r\n")
     entry = build_entry(target)
     told: list[exchange.Headers] = []
@@ -258,7 +261,7 @@
 async def test_unreadable_answer_of_a_node_ends_no_process(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, headers: exchange.Headers
 ) -> None:
-    """Nodes of two releases run beside each other; what can't be read is no proof."""
+    """Guards against a node that fails on headers of another release, or trusts invalid ones."""
     lines = b"".join(b"%s: %s\r\n" % pair for pair in headers).decode("latin-1")
     other = Target(nursery=nursery, answer_headers=lines)
     entry = build_entry(Target(nursery=nursery))
--- a/tests/request/test_relay.py
+++ b/tests/request/test_relay.py
@@ -1,4 +1,4 @@
-"""What other nodes write into headers, and what another writer may have written there."""
+"""Tests of the headers between nodes, with valid and with invalid content."""
 
 import dataclasses
 import math
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("slot", [None, 0, 65_535])
 def test_what_a_hop_tells_comes_back(slot: int | None) -> None:
-    """The bounds must not refuse what a node itself writes."""
+    """Guards against limits that reject the headers that a node itself writes."""
     call = build_call()
     call.service = identity.ServiceId("lookup")
     call.rules = exchange.Rules(
@@ -53,7 +53,10 @@
 
 
 def test_hop_is_told_from_a_message_of_a_node() -> None:
-    """Callers choose the path of a hop: one under a node's own paths passed for its message."""
+    """Guards against taking a forwarded request for a message between nodes.
+
+    Callers choose the path, and one of the paths of the nodes' own messages was mistaken for one.
+    """
     assert hop_headers.is_hop(hop_headers.build_headers(fill_call(), 3.0))
     assert not hop_headers.is_hop([(b"host", b"x")])
 
@@ -73,7 +76,7 @@
 
 @pytest.mark.parametrize(("value", "retry_after", "owner"), ODD_REFUSALS)
 def test_odd_refusals_of_other_nodes(value: bytes, retry_after: bytes, owner: bytes | None) -> None:
-    """One odd header ended the node that read it; what can't be read promises nothing."""
+    """Guards against an invalid header that ends the node's process or is taken for "not run"."""
     headers = [(b"retry-after", retry_after)]
     if owner is not None:
         headers.append((hop_headers.OWNER_HEADER, owner))
@@ -102,7 +105,7 @@
 
 @pytest.mark.parametrize("value", ODD_LOADS)
 def test_odd_loads_of_other_nodes(value: bytes) -> None:
-    """One odd load ended the node, or made every later comparison with it meaningless."""
+    """Guards against an invalid load that ends the node's process or breaks later comparisons."""
     view = selection.TargetView(slots=4)
     before = dataclasses.replace(view)
     hop_headers.record_load(view, [(hop_headers.LOAD_HEADER, value)], 3.0)
@@ -112,7 +115,7 @@
 
 @hypothesis.given(strategies.binary(max_size=60), strategies.binary(max_size=20))
 def test_any_bytes_in_headers_raise_nothing(value: bytes, other: bytes) -> None:
-    """An exception in a handler ends all tasks of the process."""
+    """Guards against exceptions from header parsing, which end all tasks of the process."""
     view = selection.TargetView(slots=4)
     hop_headers.record_load(view, [(hop_headers.LOAD_HEADER, value)], 3.0)
     assert isinstance(
@@ -150,7 +153,7 @@
 async def test_odd_accusations_are_refused(
     body: bytes, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """What can't be read accuses no request."""
+    """Guards against quarantining requests on an invalid crash report."""
     watch = test_origin.build_origin(0.0).delivery.crash_detector
     assert not crash.receive_push(watch, body)
     assert not watch.quarantine.crashes
--- a/tests/request/test_retry.py
+++ b/tests/request/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries, hedges, budgets and deadlines."""
+"""Tests of retries, hedges, budgets and deadlines."""
 
 import re
 
@@ -75,7 +75,7 @@
 @PROFILE
 @hypothesis.given(strategies.lists(strategies.booleans(), max_size=400))
 def test_budget_bounds_extra_attempts(tries: list[bool]) -> None:
-    """Guards against a bucket that pays out more than its share and its burst."""
+    """Guards against a budget that allows more than its share and its burst."""
     bucket = budget.Budget(share=0.1)
     earned = spent = 0
     for is_spent in tries:
@@ -100,7 +100,7 @@
     ],
 )
 def test_hedges(change: dict[str, object], after_s: float | None) -> None:
-    """Guards against a hedge that runs a request twice, or that nobody can wait for."""
+    """Guards against a hedge that runs a request twice, or that starts after the deadline."""
     assert retry.hedge_after(**(HEDGE | change)) == after_s  # type: ignore[arg-type]
 
 
@@ -110,7 +110,7 @@
     + [(bad, None) for bad in ("", "-1", "1.5", "+5", "1e3", " 5", "٣", "5\n", "1" * 10, "0x5")],
 )
 def test_deadline_header(text: str | None, remaining_s: float | None) -> None:
-    """Guards against a request that runs longer than the service allows, and odd numbers."""
+    """Guards against a request that runs longer than the service allows, and invalid numbers."""
     found = deadline.parse(text, limit_ms=400, now=50.0)
     if remaining_s is None:
         assert found == result.Failure(outcome.Reason.BAD_REQUEST)
--- a/tests/request/test_routing.py
+++ b/tests/request/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of the node that runs a request."""
+"""Tests of the choice of the node that runs a request."""
 
 import collections
 import random
@@ -23,7 +23,7 @@
     loads: dict[int, routing.TargetLoad] | None = None,
     **down: set[int],
 ) -> routing.View:
-    """The view of node 0; nodes 0 to 3 have targets, 0 and 1 stand in its zone."""
+    """Return the view of node 0. Nodes 0 to 3 have targets; 0 and 1 are in its zone."""
     plain = message.Member(
         node=NODES[0],
         incarnation=identity.Incarnation("x"),
@@ -70,7 +70,7 @@
     ("view", "details", "choice", "reason", "node"),
     [
         (make_view(owner=0, fence=3), {}, Choice.LOCAL, Reason.NONE, None),
-        # The owner by the routes is stale: this node holds the grant.
+        # The owner in the routes is out of date: this node holds the grant.
         (make_view(owner=2, fence=3), {}, Choice.LOCAL, Reason.NONE, None),
         (make_view(owner=2, fence=3), {"is_hop": True}, Choice.LOCAL, Reason.NONE, None),
         (make_view(owner=0, fence=3, down={0}), {}, Choice.WAIT, Reason.NO_TARGET, None),
@@ -113,14 +113,14 @@
 def test_token_leads_to_its_issuer(
     issuer: int, is_hop: bool, choice: Choice, reason: Reason
 ) -> None:
-    """Guards against a token that another node takes for unused."""
+    """Guards against a token that a node other than its issuer takes for unused."""
     view = make_view(leaving={2})
     route = routing.choose(view, SERVICE, shard=None, issuer=NODES[issuer], is_hop=is_hop)
     assert (route.choice, route.reason) == (choice, reason)
 
 
 def count_targets(view: routing.View, **details: object) -> dict[int, int]:
-    """Where 2000 requests go."""
+    """Return how many of 2000 requests each node gets."""
     counts: collections.Counter[int] = collections.Counter()
     for _ in range(2000):
         route = routing.choose(view, SERVICE, shard=None, **details)  # type: ignore[arg-type]
@@ -132,7 +132,7 @@
 
 
 def test_own_zone_comes_first_until_it_is_slower() -> None:
-    """Guards against needless traffic between zones, and against an overloaded own zone."""
+    """Guards against needless traffic between zones, and against overload of the own zone."""
     assert set(count_targets(make_view())) == {0, 1}
     busy = routing.TargetLoad(in_flight=9, latency_s=0.005)
     assert set(count_targets(make_view(loads={0: busy, 1: busy}))) == {2, 3}
@@ -140,7 +140,7 @@
 
 
 def test_stragglers_get_probes_only() -> None:
-    """Guards against a straggler that gets its share, or no request that shows its recovery."""
+    """Guards against a straggler that gets its full share, or no request to show its recovery."""
     slow = routing.TargetLoad(latency_s=0.05, is_bypassed=True)
     counts = count_targets(make_view(loads={1: slow}))
     expected = 2000 / (50 * 4)
@@ -150,7 +150,7 @@
 
 
 def test_unusable_targets_get_nothing() -> None:
-    """Guards against work for a leaving target, a second hop, and a hedge to the same target."""
+    """Guards against requests to a leaving target, a second hop, and a hedge to the same target."""
     assert set(count_targets(make_view(leaving={0}, down={1}))) == {2, 3}
     assert set(count_targets(make_view(), tried={NODES[0], NODES[1]})) == {2, 3}
     assert set(count_targets(make_view(), is_hop=True)) == {0}
--- a/tests/request/test_token.py
+++ b/tests/request/test_token.py
@@ -1,4 +1,4 @@
-"""A token runs at most once, whatever happens between its uses."""
+"""Tests that a token runs at most once, whatever happens between its uses."""
 
 import base64
 import collections.abc
@@ -17,7 +17,7 @@
 PARTITION = identity.name_partition(SERVICE, identity.Partition(7))
 OWN = identity.name_key(SERVICE, KEYS[0])
 LIFE_S = 10.0
-# The nodes' clocks share no origin.
+# The nodes' clocks have different zero points.
 CLOCKS = [0.0, 5000.0, -400.0]
 ANSWERED = outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=201)
 ENDINGS = [ANSWERED, outcome.unknown(outcome.Reason.CONNECTION_LOST)]
@@ -42,7 +42,7 @@
 
 
 class Tokens(stateful.RuleBasedStateMachine):
-    """One partition and one of its keys, which is split off, moved, lost and merged back."""
+    """A state machine of one partition and a key that is split off, moved, lost and merged back."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -90,7 +90,7 @@
         if standing is token.Standing.FRESH:
             one.runs += 1
             assert one.runs == 1, "a token ran twice"
-            # A carried clock lags by the time that each handover took, and so does the memory.
+            # A handed-over clock lags by the duration of each handover, and so does the memory.
             age_s = self.now - one.at - self.lag_s
             assert age_s < self.life_s + token_memory.CLOCK_TOLERANCE_S, "an expired token ran"
             if is_quick:
@@ -244,7 +244,7 @@
         (lambda text: "", token.Standing.MALFORMED),
         (lambda text: text + "=", token.Standing.MALFORMED),
         (lambda text: text[:-1], token.Standing.MALFORMED),
-        # The last character carries bits that decoders ignore.
+        # The last character contains bits that decoders ignore.
         (lambda text: text[:-1] + chr(ord(text[-1]) + 1), token.Standing.MALFORMED),
         (lambda text: "é" + text, token.Standing.MALFORMED),
         (lambda text: "A" * 100_000, token.Standing.MALFORMED),
@@ -263,7 +263,7 @@
 def test_check_of_changed_tokens(
     change: collections.abc.Callable[[str], str], standing: token.Standing
 ) -> None:
-    """Guards against a changed text that passes for another token and runs again."""
+    """Guards against an altered text that is accepted as another token and runs again."""
     state = create_state()
     text = change(issue(state, 100.0))
     assert token.check(state, text, key=KEYS[0], now=101.0).standing is standing
@@ -290,7 +290,7 @@
 
 
 def test_full_memory_refuses_until_tokens_expire() -> None:
-    """Guards against a full memory that forgets a token which could then run again."""
+    """Guards against a full memory that drops a token, which could then run again."""
     state = create_state(limit=2)
     texts = [issue(state, 100.0, nonce) for nonce in range(3)]
     for text in texts[:2]:
@@ -305,7 +305,7 @@
 
 
 def test_issuer_is_found_only_in_tokens_of_nodes() -> None:
-    """Guards against a token without a key that reaches a node which cannot check it."""
+    """Guards against a token without a key that is sent to a node that cannot check it."""
     node = identity.NodeId("n-3")
     state = token_memory.create(
         shard=token_memory.name_node_shard(SERVICE, node),
@@ -382,7 +382,7 @@
 def test_broken_memory_is_found(
     monkeypatch: pytest.MonkeyPatch, name: str, broken: collections.abc.Callable[..., object]
 ) -> None:
-    """Guards against a state machine that no longer reaches the faults it was written for."""
+    """Guards against a state machine that no longer finds the faults it was written for."""
     monkeypatch.setattr(token_memory, name, broken)
     with pytest.raises(AssertionError):
         stateful.run_state_machine_as_test(Tokens, settings=SETTINGS)
