--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -305,7 +305,7 @@
     reply_kind = [ReplyKind.ANSWER]
     attempt_result = attempt.AttemptResult()
 
-    def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+    def filter_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         reply_kind[0] = dialect.classify_reply(status, headers)
         if not correlation.is_reply_to_last(
             attempt_result.attempt.reply_correlation, is_first=attempt_result.attempt.is_first
@@ -326,7 +326,7 @@
         pool=delivery.pool,
         address=node.place.target_address,
         extra_headers=dialect.build_headers(call, target.lifetime, remaining_s),
-        filter_reply=relay,
+        filter_reply=filter_reply,
         p99_s=attempt.TYPICAL_P99_S,
         correlate=lambda headers: dialect.correlate(headers, call.request_id),
     )
--- a/src/ebonyvalve/request/dispatch.py
+++ b/src/ebonyvalve/request/dispatch.py
@@ -119,12 +119,12 @@
     head = h11.Request(
         method=call.method, target=call.path, headers=_list_headers(call, extra_headers)
     )
-    first: list[h11.Event] = [head]
+    events: list[h11.Event] = [head]
     if call.prefix:
-        first.append(h11.Data(data=call.prefix))
+        events.append(h11.Data(data=call.prefix))
     if call.is_body_buffered:
-        first.append(h11.EndOfMessage())
-    sent = await wire.send(conn, *first)
+        events.append(h11.EndOfMessage())
+    sent = await wire.send(conn, *events)
     if isinstance(sent, result.Failure):
         attempt.step = Step.SEND_FAILED
         return
@@ -158,15 +158,15 @@
 
     :param headers: pairs with names in lower case.
     """
-    named = wire.find_header(headers, b"connection") or b""
-    listed = {name.strip().lower() for name in named.split(b",")}
+    connection_header = wire.find_header(headers, b"connection") or b""
+    excluded = {name.strip().lower() for name in connection_header.split(b",")}
     if wire.find_header(headers, b"transfer-encoding") is not None:
         # Chunked encoding overrides Content-Length (RFC 9112, section 6.3), which may be wrong.
-        listed.add(b"content-length")
+        excluded.add(b"content-length")
     return [
         (name, value)
         for name, value in headers
-        if name not in CONNECTION_HEADERS and name not in listed
+        if name not in CONNECTION_HEADERS and name not in excluded
     ]
 
 
@@ -299,8 +299,10 @@
     now: collections.abc.Callable[[], float],
 ) -> None:
     bytes_before = conn.received_bytes
-    names = {name for name, _ in attempt.headers}
-    is_length_announced = b"content-length" in names and b"transfer-encoding" not in names
+    header_names = {name for name, _ in attempt.headers}
+    is_length_announced = (
+        b"content-length" in header_names and b"transfer-encoding" not in header_names
+    )
     while True:
         liveness.record_awaiting(connection.state, now())
         received = await wire.receive(conn)
--- a/src/ebonyvalve/request/explanation.py
+++ b/src/ebonyvalve/request/explanation.py
@@ -59,35 +59,35 @@
     yield f"  held by target {span.holder} beside {span.node}"
     if span.successor:
         yield f"  it is moving to target {span.successor} beside {span.successor_node}"
-    known = node.members.get(identity.NodeId(span.node))
-    if known is None:
+    target = node.members.get(identity.NodeId(span.node))
+    if target is None:
         yield f"  {span.node} is not announced: 503 until its lease has ended"
     else:
-        yield from _explain_target(node, known)
+        yield from _explain_target(node, target)
 
 
 def _explain_choice(
     node: node_module.Node, service: identity.ServiceId
 ) -> collections.abc.Iterator[str]:
-    known = [one for one in node.members.values() if one.service == service]
-    if not known:
+    targets = [target for target in node.members.values() if target.service == service]
+    if not targets:
         yield "  no target is announced: 503"
-    for one in sorted(known, key=lambda one: one.node):
-        yield from _explain_target(node, one)
+    for target in sorted(targets, key=lambda target: target.node):
+        yield from _explain_target(node, target)
 
 
-def _explain_target(node: node_module.Node, known: member.Member) -> collections.abc.Iterator[str]:
+def _explain_target(node: node_module.Node, target: member.Member) -> collections.abc.Iterator[str]:
     now = node.now()
-    view = node_module.read_view(node, known.node)
-    peer = survey.describe(node, known)
-    says = f"  {known.node} in {known.zone}: target {known.lifetime} is {known.state.value}"
-    if known.zone in node.evacuated:
-        says += ", its zone is evacuated"
+    view = node_module.read_view(node, target.node)
+    peer = survey.describe(node, target)
+    line = f"  {target.node} in {target.zone}: target {target.lifetime} is {target.state.value}"
+    if target.zone in node.evacuated:
+        line += ", its zone is evacuated"
     if now < view.avoid_until:
-        says += f", passed by for {view.avoid_until - now:.2f} s after {view.failures} failures"
+        line += f", passed by for {view.avoid_until - now:.2f} s after {view.failures} failures"
     if now < view.full_until:
-        says += f", full for {view.full_until - now:.2f} s"
-    if known.node == node.place.node:
-        yield f"{says}, beside this node, load {peer.offered:.2f}"
+        line += f", full for {view.full_until - now:.2f} s"
+    if target.node == node.place.node:
+        yield f"{line}, beside this node, load {peer.offered:.2f}"
     else:
-        yield f"{says}, {survey.format_load(peer)}"
+        yield f"{line}, {survey.format_load(peer)}"
--- a/src/ebonyvalve/request/front.py
+++ b/src/ebonyvalve/request/front.py
@@ -273,10 +273,10 @@
     async def wait_gone() -> None:
         await wire.wait_closed(conn)
 
-    def find_gone() -> bool:
+    def is_gone() -> bool:
         return wire.is_closed_by_peer(conn)
 
-    def is_begun() -> bool:
+    def is_reply_begun() -> bool:
         return conn.http.our_state is not h11.SEND_RESPONSE
 
     return exchange.Caller(
@@ -285,8 +285,8 @@
         write=write,
         finish=finish,
         wait_gone=wait_gone,
-        is_gone=find_gone,
-        is_reply_begun=is_begun,
+        is_gone=is_gone,
+        is_reply_begun=is_reply_begun,
     )
 
 
--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -198,9 +198,9 @@
     if not service.is_keyed:
         return None
     node = here.read_node()
-    own = identity.name_key(service.name, key)
-    if own in node.holdings or own in node.routes:
-        return own
+    key_shard = identity.name_key(service.name, key)
+    if key_shard in node.holdings or key_shard in node.routes:
+        return key_shard
     return identity.name_partition(service.name, route.find_partition(service, key))
 
 
@@ -212,7 +212,7 @@
     progress.tried.add(node)
     first = functools.partial(try_node, shared, progress, node)
     if progress.service.is_keyed or progress.call.is_hop or progress.call.token is not None:
-        return await first(gate=hedge.accept_all)
+        return await first(filter_reply=hedge.accept_all)
 
     def choose_other() -> (
         collections.abc.Callable[..., collections.abc.Awaitable[exchange.Completion]] | None
@@ -233,14 +233,14 @@
     progress: Progress,
     node: identity.NodeId,
     *,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
 ) -> exchange.Completion:
     """Make one attempt at one node.
 
     :param shared: state shared by the node's requests.
     :param progress: the request.
     :param node: this node or another one.
-    :param gate: decides last whether a reply is passed on.
+    :param filter_reply: decides last whether a reply is passed on.
     """
     here = shared.here
     call = progress.call
@@ -249,26 +249,28 @@
         if member is None:
             return exchange.Completion(result=outcome.refuse(outcome.Reason.CONNECT_FAILED))
         return await hop.run(
-            here, call, progress.caller, progress.service, member, shared.hop_pool, gate
+            here, call, progress.caller, progress.service, member, shared.hop_pool, filter_reply
         )
     if site.is_drained(here):
         return exchange.Completion(result=outcome.refuse(outcome.Reason.DRAINED))
     shard = find_shard(here, progress.service, call.key)
     if shard is None:
-        return await _run_unkeyed(shared, progress, gate)
+        return await _run_unkeyed(shared, progress, filter_reply)
     granted = lease.find_fence(here.read_node(), shard, call.key, here.now())
     if granted is None:
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
 
     def is_granted() -> bool:
-        held = lease.find_fence(here.read_node(), shard, call.key, here.now())
-        return held == granted and not site.is_drained(here)
+        current = lease.find_fence(here.read_node(), shard, call.key, here.now())
+        return current == granted and not site.is_drained(here)
 
-    return await local.run(here, _build_job(shared, progress, shard, granted, is_granted), gate)
+    return await local.run(
+        here, _build_job(shared, progress, shard, granted, is_granted), filter_reply
+    )
 
 
 async def _run_unkeyed(
-    shared: Handler, progress: Progress, gate: dispatch.FilterReply
+    shared: Handler, progress: Progress, filter_reply: dispatch.FilterReply
 ) -> exchange.Completion:
     """Run a request of a service without keys here, with the node itself as the shard.
 
@@ -284,7 +286,9 @@
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
     shard = token_memory.name_node_shard(progress.service.name, here.node)
     fence = token_memory.derive_fence(here.incarnation)
-    return await local.run(here, _build_job(shared, progress, shard, fence, is_granted), gate)
+    return await local.run(
+        here, _build_job(shared, progress, shard, fence, is_granted), filter_reply
+    )
 
 
 def _build_job(
--- a/src/ebonyvalve/request/hedge.py
+++ b/src/ebonyvalve/request/hedge.py
@@ -109,7 +109,7 @@
     :param after_s: seconds until the second attempt starts; ``None`` for never.
     """
     if after_s is None:
-        return await first(gate=accept_all)
+        return await first(filter_reply=accept_all)
     race = Race()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_run_attempt, race, 0, first)
@@ -120,12 +120,12 @@
             other = choose_other()
         if other is not None:
             nursery.start_soon(_run_attempt, race, 1, other)
-    answered = [ended for ended in race.completions if ended.is_answered]
+    answered = [completion for completion in race.completions if completion.is_answered]
     return (answered or race.completions)[-1]
 
 
 async def _run_attempt(race: Race, number: int, attempt: RunAttempt) -> None:
-    def gate(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+    def filter_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if race.winner is not None and race.winner != number:
             return None
         race.winner = number
@@ -137,5 +137,5 @@
 
     scope = race.scopes[number] = trio.CancelScope()
     with scope:
-        race.completions.append(await attempt(gate=gate))
+        race.completions.append(await attempt(filter_reply=filter_reply))
         race.decided.set()
--- a/src/ebonyvalve/request/hop.py
+++ b/src/ebonyvalve/request/hop.py
@@ -14,7 +14,7 @@
     service: objects.Service,
     member: message.Member,
     connections: pool.Pool,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
 ) -> exchange.Completion:
     """Forward a request to another node, and pass the reply to the caller.
 
@@ -24,17 +24,17 @@
     :param service: the service.
     :param member: the other node.
     :param connections: connections to other nodes.
-    :param gate: decides last whether a reply is passed on; a hedged request uses it to pass
+    :param filter_reply: decides last whether a reply is passed on; a hedged request uses it to pass
         on one reply only.
     """
     is_idempotent = call.method in service.idempotent_methods
     started_s = here.now()
 
-    def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
-        said = read_outcome(status, headers)
-        if _may_retry_elsewhere(said, is_idempotent=is_idempotent):
+    def filter_hop_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+        reported = read_outcome(status, headers)
+        if _may_retry_elsewhere(reported, is_idempotent=is_idempotent):
             return None
-        return gate(status, dispatch.filter_headers(headers))
+        return filter_reply(status, dispatch.filter_headers(headers))
 
     extra = local.list_extra(call, started_s)
     if call.token is not None:
@@ -43,7 +43,7 @@
         pool=connections,
         address=member.hop_address,
         extra_headers=extra,
-        filter_reply=relay,
+        filter_reply=filter_hop_reply,
         p99_s=straggler.read_quantile(here.books[service.name], 0.99),
         max_idle_s=None if is_idempotent else local.MAX_IDLE_ONCE_S,
         awaits_continue=not call.is_body_buffered,
--- a/src/ebonyvalve/request/hop_headers.py
+++ b/src/ebonyvalve/request/hop_headers.py
@@ -37,19 +37,19 @@
     :param value: the value of the header with the verdict and the reason.
     :param headers: all headers of the reply.
     """
-    verdict, _, reason = value.partition(b":")
-    said = VERDICTS.get(verdict)
-    why = REASONS.get(reason)
+    raw_verdict, _, raw_reason = value.partition(b":")
+    verdict = VERDICTS.get(raw_verdict)
+    reason = REASONS.get(raw_reason)
     retry_after = wire.find_header(headers, RETRY_AFTER_HEADER) or b"0"
     retry_after_s = decoding.read_number(retry_after, max_value=MAX_RETRY_AFTER_S)
     named = wire.find_header(headers, OWNER_HEADER)
     owner = decoding.read_name(named) if named else ""
-    if said is None or why is None or retry_after_s is None or owner is None:
+    if verdict is None or reason is None or retry_after_s is None or owner is None:
         decision.record(log, logging.WARNING, "refusal-unreadable", value=repr(value)[:100])
         return delivery.Completion(result=outcome.unknown(outcome.Reason.CONNECTION_LOST))
-    is_not_run = said is outcome.Verdict.NOT_RUN
+    is_not_run = verdict is outcome.Verdict.NOT_RUN
     return delivery.Completion(
-        result=outcome.refuse(why) if is_not_run else outcome.unknown(why),
+        result=outcome.refuse(reason) if is_not_run else outcome.unknown(reason),
         retry_after_s=retry_after_s,
         owner=identity.NodeId(owner) if owner else None,
     )
@@ -102,36 +102,36 @@
     """
     found = {name: value for name, value in headers if name.startswith(HEADER_PREFIX)}
     service = decoding.read_name(found.get(SERVICE_HEADER, b""))
-    entered_at = decoding.read_name(found.get(ORIGIN_HEADER, b""))
-    left_ms = decoding.read_count(found.get(DEADLINE_HEADER, b""))
-    rules = _read_rules(found.get(RULES_HEADER, b""), entered_at or "")
-    if service is None or entered_at is None or left_ms is None or rules is None:
+    origin_service = decoding.read_name(found.get(ORIGIN_HEADER, b""))
+    remaining_ms = decoding.read_count(found.get(DEADLINE_HEADER, b""))
+    rules = _read_rules(found.get(RULES_HEADER, b""), origin_service or "")
+    if service is None or origin_service is None or remaining_ms is None or rules is None:
         decision.record(log, logging.WARNING, "hop-unreadable", cause=str(found)[:200])
         return False
     call.service = identity.ServiceId(service)
-    call.deadline_at_s = call.arrived_at_s + left_ms / 1000
+    call.deadline_at_s = call.arrived_at_s + remaining_ms / 1000
     call.rules = rules
     return True
 
 
-def _read_rules(value: bytes, entered_at: str) -> exchange.Rules | None:
+def _read_rules(value: bytes, origin_service: str) -> exchange.Rules | None:
     fields = value.split(b",", RULES_FIELDS - 1)
     if len(fields) != RULES_FIELDS:
         return None
-    repeatable, attempts, priority, objective_ms, key, kind = fields
-    numbers = [decoding.read_count(text) for text in (attempts, priority, objective_ms)]
+    repeatable, raw_attempts, raw_priority, raw_objective_ms, key, route = fields
+    numbers = [decoding.read_count(text) for text in (raw_attempts, raw_priority, raw_objective_ms)]
     key_slot = decoding.read_count(key, max_value=identity.LAST_SLOT)
     if None in numbers or (key and key_slot is None):
         return None
-    max_attempts, rank, goal_ms = (number or 0 for number in numbers)
+    max_attempts, priority, objective_ms = (number or 0 for number in numbers)
     return exchange.Rules(
         is_repeatable=repeatable == b"1",
         max_attempts=max_attempts,
-        priority=rank,
-        objective_s=goal_ms / 1000,
-        origin_service=identity.ServiceId(entered_at),
+        priority=priority,
+        objective_s=objective_ms / 1000,
+        origin_service=identity.ServiceId(origin_service),
         key_slot=key_slot,
-        route=kind.decode("ascii", "backslashreplace"),
+        route=route.decode("ascii", "backslashreplace"),
     )
 
 
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -67,12 +67,12 @@
     connections: pool.Pool
 
 
-async def run(here: site.Site, job: Job, gate: dispatch.FilterReply) -> exchange.Completion:
+async def run(here: site.Site, job: Job, filter_reply: dispatch.FilterReply) -> exchange.Completion:
     """Run a request at the local target, or refuse it.
 
     :param here: the node's state.
     :param job: the request and the grant.
-    :param gate: decides last whether a reply is passed on; a hedged request uses it to pass
+    :param filter_reply: decides last whether a reply is passed on; a hedged request uses it to pass
         on one reply only.
     """
     call = job.call
@@ -101,9 +101,11 @@
             _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
             if found.standing is token.Standing.IN_PROGRESS:
                 # A resend was admitted first while this request waited for admission.
-                return await run(here, job, gate)
+                return await run(here, job, filter_reply)
             return _refuse_token(here, job, tokens, found)
-    return await _make_attempt(here, job, tokens, fingerprint, answer.ticket, gate, is_once=is_once)
+    return await _make_attempt(
+        here, job, tokens, fingerprint, answer.ticket, filter_reply, is_once=is_once
+    )
 
 
 async def _make_attempt(
@@ -112,7 +114,7 @@
     tokens: token_memory.Memory,
     fingerprint: identity.Fingerprint,
     ticket: limit.Ticket,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
     *,
     is_once: bool,
 ) -> exchange.Completion:
@@ -122,7 +124,7 @@
     attempt_result = attempts.AttemptResult()
     completion = exchange.Completion(result=outcome.unknown(outcome.Reason.CALLER_GONE))
     address = here.target.address or identity.Address("")
-    context = _build_context(here, job, tokens, gate, is_once=is_once)
+    context = _build_context(here, job, tokens, filter_reply, is_once=is_once)
     try:
         with flight.scope:
             await attempts.run(context, job.call, job.caller, here.now, attempt_result)
@@ -148,28 +150,32 @@
     here: site.Site,
     job: Job,
     tokens: token_memory.Memory,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
     *,
     is_once: bool,
 ) -> attempts.AttemptContext:
-    def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+    def filter_target_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if wire.find_header(headers, front.OUTCOME_HEADER) == b"not-run":
             return None
         answered = outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=status)
-        kept = [pair for pair in headers if not pair[0].startswith(front.HEADER_PREFIX)]
+        kept_headers = [pair for pair in headers if not pair[0].startswith(front.HEADER_PREFIX)]
         next_token = (front.TOKEN_HEADER, issue(here, job, tokens))
-        return gate(
+        return filter_reply(
             status,
-            [*dispatch.filter_headers(kept), *front.build_outcome_headers(answered), next_token],
+            [
+                *dispatch.filter_headers(kept_headers),
+                *front.build_outcome_headers(answered),
+                next_token,
+            ],
         )
 
     fence = (front.FENCE_HEADER, f"{job.shard}:{job.fence}".encode())
-    until = (front.GRANT_UNTIL_HEADER, str(site.tell_grant_end_ms(here)).encode())
+    grant_until = (front.GRANT_UNTIL_HEADER, str(site.tell_grant_end_ms(here)).encode())
     return attempts.AttemptContext(
         pool=job.connections,
         address=here.target.address or identity.Address(""),
-        extra_headers=[*list_extra(job.call, here.now()), fence, until],
-        filter_reply=relay,
+        extra_headers=[*list_extra(job.call, here.now()), fence, grant_until],
+        filter_reply=filter_target_reply,
         p99_s=straggler.read_quantile(here.books[job.service.name], 0.99),
         max_idle_s=MAX_IDLE_ONCE_S if is_once else None,
         correlate=functools.partial(_correlate, job.call.request_id.encode()),
@@ -299,8 +305,8 @@
         return _conclude_cancelled(attempt_result)
     if attempt_result.attempt.step is not dispatch.Step.WITHHELD:
         return attempts.conclude(attempt_result)
-    said = wire.find_header(attempt_result.attempt.headers, front.REASON_HEADER) or b""
-    reason = TARGET_REASONS.get(said, outcome.Reason.TARGET_SHED)
+    reported = wire.find_header(attempt_result.attempt.headers, front.REASON_HEADER) or b""
+    reason = TARGET_REASONS.get(reported, outcome.Reason.TARGET_SHED)
     return exchange.Completion(
         result=outcome.refuse(reason), is_body_open=attempt_result.attempt.is_body_open
     )
@@ -377,9 +383,9 @@
 def _classify(attempt_result: attempts.AttemptResult) -> limit.Reply:
     attempt = attempt_result.attempt
     if _is_refused_by_target(attempt):
-        said = wire.find_header(attempt.headers, front.REASON_HEADER)
+        reported = wire.find_header(attempt.headers, front.REASON_HEADER)
         # A stale fencing token is not a sign of load.
-        return limit.Reply.ABANDONED if said == b"stale-fence" else limit.Reply.SHED
+        return limit.Reply.ABANDONED if reported == b"stale-fence" else limit.Reply.SHED
     if attempt.head_at_s is not None:
         return limit.Reply.OK
     if attempt_result.is_timed_out and attempt.is_sent:
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -179,23 +179,23 @@
     :return: the completion, and whether the caller has left.
     """
     completion = delivery.Completion(result=outcome.unknown(outcome.Reason.DEADLINE))
-    is_gone = False
+    is_caller_gone = False
     async with trio.open_nursery() as nursery:
         # The node's clock may differ from Trio's clock.
         remaining_s = max(0.0, call.deadline_at_s - node.now())
         nursery.cancel_scope.deadline = trio.current_time() + remaining_s
 
         async def watch() -> None:
-            nonlocal is_gone
+            nonlocal is_caller_gone
             await caller.wait_gone()
-            is_gone = True
+            is_caller_gone = True
             nursery.cancel_scope.cancel()
 
         if call.is_body_buffered or (call.rules is not None and call.rules.is_repeatable):
             nursery.start_soon(watch)
         completion = await work()
         nursery.cancel_scope.cancel()
-    return completion, is_gone
+    return completion, is_caller_gone
 
 
 async def _try_all(
@@ -268,15 +268,17 @@
     if rules.key_slot is not None:
         return _find_owner(node, call.service, rules.key_slot, owner=owner)
     candidates = {
-        one.node: one
-        for one in node_module.list_open_members(node, call.service)
-        if one.node not in excluded
+        candidate.node: candidate
+        for candidate in node_module.list_open_members(node, call.service)
+        if candidate.node not in excluded
     }
     now = node.now()
     views = {name: node_module.read_view(node, name) for name in candidates}
     if excluded and all(view.avoid_until > now for view in views.values()):
         return None
-    same_zone = {name for name, one in candidates.items() if one.zone == node.place.zone}
+    same_zone = {
+        name for name, candidate in candidates.items() if candidate.zone == node.place.zone
+    }
     return selection.choose(views, same_zone, now, node.draw)
 
 
@@ -342,7 +344,7 @@
         )
     refusals: list[delivery.Completion] = []
 
-    def take_head(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+    def filter_hop_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         hop_headers.record_load(view, headers, node.now())
         hop_headers.record_version(node, headers, name)
         reason = wire.find_header(headers, hop_headers.REFUSED_HEADER)
@@ -356,7 +358,7 @@
         address=peer.address,
         extra_headers=hop_headers.build_headers(call, node.now())
         + hop_headers.build_version_header(node),
-        filter_reply=take_head,
+        filter_reply=filter_hop_reply,
         p99_s=attempt.TYPICAL_P99_S,
     )
     attempt_result = attempt.AttemptResult()
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -77,10 +77,10 @@
     )
     trusted_since = monitor.node.now() - TRUST_AFTER_PING_S
     return {
-        name: one.address
-        for name, one in members.items()
+        name: peer.address
+        for name, peer in members.items()
         if name in monitor.unreachable
-        or (one.address in doubtful and monitor.answered_at.get(name, 0.0) < trusted_since)
+        or (peer.address in doubtful and monitor.answered_at.get(name, 0.0) < trusted_since)
     }
 
 
--- a/src/ebonyvalve/request/routing.py
+++ b/src/ebonyvalve/request/routing.py
@@ -206,18 +206,18 @@
     view: View, members: list[message.Member], loads: dict[identity.NodeId, TargetLoad]
 ) -> message.Member:
     latencies = [load.latency_s for load in loads.values() if load.latency_s is not None]
-    usual_s = min(latencies, default=0.001)
+    fallback_s = min(latencies, default=0.001)
 
-    def expect(member: message.Member) -> float:
+    def predict_latency(member: message.Member) -> float:
         load = loads[member.node]
-        latency_s = usual_s if load.latency_s is None else load.latency_s
+        latency_s = fallback_s if load.latency_s is None else load.latency_s
         factor = ZONE_FACTOR if member.zone != view.zone else 1.0
         return latency_s * (load.in_flight + 1) * (COLD_FACTOR if member.is_cold else 1.0) * factor
 
-    near = [member for member in members if member.zone == view.zone]
-    far = [member for member in members if member.zone != view.zone]
-    drawn = _draw_candidates(view, near) + _draw_candidates(view, far)
-    return min(drawn, key=expect)
+    same_zone = [member for member in members if member.zone == view.zone]
+    other_zones = [member for member in members if member.zone != view.zone]
+    drawn = _draw_candidates(view, same_zone) + _draw_candidates(view, other_zones)
+    return min(drawn, key=predict_latency)
 
 
 def _draw_candidates(view: View, members: list[message.Member]) -> list[message.Member]:
--- a/tests/request/test_attempt.py
+++ b/tests/request/test_attempt.py
@@ -29,7 +29,7 @@
     ("end", "closes", "ended_by"),
     [(give_up, False, "unreachable"), (wait, False, "deadline"), (wait, True, "other-end")],
 )
-async def test_end_of_a_broken_answer_can_be_told_from_the_log(
+async def test_cause_of_a_broken_reply_is_logged(
     autojump_clock: trio.testing.MockClock,
     caplog: pytest.LogCaptureFixture,
     end: collections.abc.Callable[[pool.Pool], collections.abc.Awaitable[None]],
@@ -51,19 +51,19 @@
     caller = exchange.Caller(
         receive=None, reply=take, write=take, finish=take, wait_gone=None, is_gone=lambda: False  # type: ignore[arg-type]
     )
-    way = attempt.AttemptContext(
+    context = attempt.AttemptContext(
         pool=state, address=ADDRESS, extra_headers=[], filter_reply=lambda status, headers: headers
     )
     call.headers = [(b"host", b"x")]
-    ended = attempt.AttemptResult()
+    attempt_result = attempt.AttemptResult()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(attempt.run, way, call, caller, trio.current_time, ended)
+        nursery.start_soon(attempt.run, context, call, caller, trio.current_time, attempt_result)
         await theirs.send_all(HEAD + b"begin")
         await trio.sleep(0.1)
         if closes:
             await theirs.aclose()
         await end(state)
-    (entry,) = [one for one in caplog.records if one.getMessage() == "attempt"]
+    (entry,) = [record for record in caplog.records if record.getMessage() == "attempt"]
     fields = entry.__dict__["fields"]
     assert fields["ended_by"] == ended_by
     assert fields["body_bytes"] == len(b"begin")
@@ -90,15 +90,15 @@
     caller = dataclasses.replace(
         test_origin.NO_CALLER, is_gone=lambda: trio.current_time() >= left_at
     )
-    way = attempt.AttemptContext(
+    context = attempt.AttemptContext(
         pool=state, address=ADDRESS, extra_headers=[], filter_reply=lambda status, headers: headers
     )
     for _ in range(2):
-        ended = attempt.AttemptResult()
+        attempt_result = attempt.AttemptResult()
         call = test_origin.build_call(is_repeatable=False)
         call.headers = [(b"host", b"x")]
-        await attempt.run(way, call, caller, trio.current_time, ended)
-        assert attempt.conclude(ended).result == outcome.refuse(outcome.Reason.CALLER_GONE)
+        await attempt.run(context, call, caller, trio.current_time, attempt_result)
+        assert attempt.conclude(attempt_result).result == outcome.refuse(outcome.Reason.CALLER_GONE)
     with trio.move_on_after(1.0) as scope:
         await theirs.receive_some(1)
     assert scope.cancelled_caught
--- a/tests/request/test_crash.py
+++ b/tests/request/test_crash.py
@@ -34,14 +34,14 @@
     entry = test_origin.build_origin(0.0)
     entry.node.target = start_target(entry.node, 1)
     entry.node.members.clear()
-    watch = crash.Detector(
+    detector = crash.Detector(
         node=entry.node,
         pool=pool.Pool(connect=connect, now=trio.current_time),
         connect=connect,
     )
     nursery.start_soon(timer.run, entry.node.wakeups)
-    nursery.start_soon(crash.run, watch)
-    return watch
+    nursery.start_soon(crash.run, detector)
+    return detector
 
 
 def start_target(node: node_module.Node, born: int) -> node_module.Target:
@@ -66,11 +66,11 @@
     The target's keys can be moved before the next caller meets the crash.
     """
     target = Target(is_up=False)
-    watch = build_watch(nursery, target)
-    crash.record_broken_request(watch, build_call("/a"))
+    detector = build_watch(nursery, target)
+    crash.record_broken_request(detector, build_call("/a"))
     await trio.sleep(2 * crash.CONFIRM_DELAY_S)
-    assert watch.node.target is not None and watch.node.target.is_dead
-    assert watch.quarantine.crashes.keys() == {crash.fingerprint(build_call("/a"))}
+    assert detector.node.target is not None and detector.node.target.is_dead
+    assert detector.quarantine.crashes.keys() == {crash.fingerprint(build_call("/a"))}
 
 
 async def test_target_that_breaks_off_answers_and_lives(
@@ -78,12 +78,12 @@
 ) -> None:
     """Guards against taking broken replies for a crash, and against a new connection for each."""
     target = Target()
-    watch = build_watch(nursery, target)
+    detector = build_watch(nursery, target)
     for _ in range(100):
-        crash.record_broken_request(watch, build_call("/a"))
+        crash.record_broken_request(detector, build_call("/a"))
         await trio.sleep(0.01)
-    assert watch.node.target is not None and not watch.node.target.is_dead
-    assert watch.quarantine.crashes == {}
+    assert detector.node.target is not None and not detector.node.target.is_dead
+    assert detector.quarantine.crashes == {}
     assert target.opened <= 12
 
 
@@ -95,21 +95,21 @@
     Its retries have the same path and body but other ids; it is refused after three crashes.
     """
     target = Target()
-    watch = build_watch(nursery, target)
+    detector = build_watch(nursery, target)
     for born in range(1, 4):
-        watch.node.target = start_target(watch.node, born)
+        detector.node.target = start_target(detector.node, born)
         target.is_up = False
-        assert not crash.is_quarantined(watch, build_call("/poison"))
-        crash.record_broken_request(watch, build_call("/poison"))
-        crash.record_broken_request(watch, build_call(f"/beside-{born}"))
+        assert not crash.is_quarantined(detector, build_call("/poison"))
+        crash.record_broken_request(detector, build_call("/poison"))
+        crash.record_broken_request(detector, build_call(f"/beside-{born}"))
         await trio.sleep(3.0)
         target.is_up = True
-    assert crash.is_quarantined(watch, build_call("/poison"))
-    assert not crash.is_quarantined(watch, build_call("/beside-1"))
-    assert not crash.is_quarantined(watch, build_call("/other"))
+    assert crash.is_quarantined(detector, build_call("/poison"))
+    assert not crash.is_quarantined(detector, build_call("/beside-1"))
+    assert not crash.is_quarantined(detector, build_call("/other"))
 
 
-async def test_gate_refuses_it_truthfully(autojump_clock: trio.testing.MockClock) -> None:
+async def test_quarantined_request_is_not_run(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against running a quarantined request, and against an early retry by its caller."""
     state = test_delivery.build_delivery()
     node = state.node
@@ -121,10 +121,10 @@
         crashes.record_crash(state.crash_detector.quarantine, [crash.fingerprint(call)], node.now())
         await trio.sleep(1.0)
     call = test_delivery.build_call(1.0)
-    ended: delivery.Completion = await test_delivery.run(state, call)
-    assert ended.result.verdict is outcome.Verdict.NOT_RUN
-    assert ended.result.reason is outcome.Reason.QUARANTINED
-    assert ended.retry_after_s > 10.0
+    completion: delivery.Completion = await test_delivery.run(state, call)
+    assert completion.result.verdict is outcome.Verdict.NOT_RUN
+    assert completion.result.reason is outcome.Reason.QUARANTINED
+    assert completion.retry_after_s > 10.0
 
 
 @pytest.mark.parametrize(
@@ -140,14 +140,14 @@
     assert crash.fingerprint(other) != crash.fingerprint(call) == crash.fingerprint(again)
 
 
-async def test_what_other_nodes_tell_counts(
+async def test_crash_reports_of_other_nodes_count(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against counting only the crashes of a node's own target."""
-    watch = build_watch(nursery, Target())
+    detector = build_watch(nursery, Target())
     name = crash.fingerprint(build_call("/poison"))
     for _ in range(3):
-        assert crash.receive_push(watch, f'["{name}"]'.encode())
+        assert crash.receive_push(detector, f'["{name}"]'.encode())
         await trio.sleep(1.0)
-    assert crash.is_quarantined(watch, build_call("/poison"))
-    assert not crash.receive_push(watch, b"{")
+    assert crash.is_quarantined(detector, build_call("/poison"))
+    assert not crash.receive_push(detector, b"{")
--- a/tests/request/test_cut_answers.py
+++ b/tests/request/test_cut_answers.py
@@ -66,12 +66,12 @@
 def build_mesh(nursery: trio.Nursery, scripts: list[Script]) -> origin.Origin:
     """Return a node whose peers answer requests by the scripts in turn, and ignore pings."""
     entry = test_origin.build_origin(9.0)
-    left = list(scripts)
+    remaining = list(scripts)
 
     async def serve(stream: trio.abc.Stream) -> None:
         first = bytes(await stream.receive_some())
         if reachability.PING_PATH.encode() not in first:
-            await left.pop(0)(stream)
+            await remaining.pop(0)(stream)
 
     async def connect(_: str) -> trio.abc.Stream:
         ours, theirs = trio.testing.memory_stream_pair()
@@ -82,7 +82,7 @@
     return entry
 
 
-async def watch(entry: origin.Origin) -> None:
+async def check_peers(entry: origin.Origin) -> None:
     state = reachability.Monitor(node=entry.node, peers=entry.peers, connect=entry.peers.connect)
     while True:
         await trio.sleep(SWEEP_S)
@@ -122,7 +122,7 @@
             coalesces_head=True,
         )
         nursery.start_soon(functools.partial(front.serve, listener, far))
-        nursery.start_soon(watch, entry)
+        nursery.start_soon(check_peers, entry)
         await near.send_all(REQUEST)
         while True:
             event = http.next_event()
@@ -143,19 +143,19 @@
 
 
 @pytest.mark.parametrize("fail", [break_off, stall])
-async def test_answer_that_was_held_back_is_fetched_elsewhere(
+async def test_request_with_a_buffered_reply_is_retried(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, fail: Script
 ) -> None:
     """Guards against closing the caller's connection when a hop breaks off after the reply's head.
 
     Issue 15. A buffered reply has not begun at the caller, so the request can be retried.
     """
-    got = await ask(monkeypatch, [fail, answer], is_repeatable=True)
-    assert got == (200, SMALL)
+    received = await ask(monkeypatch, [fail, answer], is_repeatable=True)
+    assert received == (200, SMALL)
 
 
 @pytest.mark.parametrize("fail", [break_off, stall])
-async def test_order_whose_answer_was_held_back_is_told_so(
+async def test_broken_reply_to_a_non_idempotent_request_is_reported(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, fail: Script
 ) -> None:
     """Guards against a missing reply when the hop of a non-idempotent request breaks off.
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize(("script", "size"), [(answer_in_two_parts, LARGE), (answer_slowly, SMALL)])
-async def test_answer_under_way_survives_missed_pings(
+async def test_begun_reply_survives_missed_pings(
     monkeypatch: pytest.MonkeyPatch,
     autojump_clock: trio.testing.MockClock,
     script: Script,
@@ -177,15 +177,15 @@
 
     Issue 15.
     """
-    got = await ask(monkeypatch, [script], is_repeatable=True)
-    assert got == (200, size)
+    received = await ask(monkeypatch, [script], is_repeatable=True)
+    assert received == (200, size)
 
 
 @pytest.mark.parametrize(
     ("script", "is_caller_there", "is_passed_by"),
     [(answer, False, False), (break_off, True, False), (refuse_to_serve, True, True)],
 )
-async def test_node_is_passed_by_only_for_what_is_its_own(
+async def test_node_is_avoided_only_for_its_own_failures(
     nursery: trio.Nursery,
     autojump_clock: trio.testing.MockClock,
     script: Script,
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("joins_head", [True, False])
-async def test_answer_whose_beginning_was_cancelled_is_replaced_whole(joins_head: bool) -> None:
+async def test_cancelled_beginning_of_a_reply_is_replaced_completely(joins_head: bool) -> None:
     """Guards against a reply with the head of one attempt and the body of the next.
 
     The first attempt was cancelled in the same scheduler step in which its last byte came.
@@ -229,28 +229,28 @@
         coalesces_head=joins_head,
     )
     caller = front.build_caller(front.Incoming(conn=conn, front=listener, max_body_bytes=1000))
-    kept = buffering.buffer_reply(caller)
+    buffered = buffering.buffer_reply(caller)
     with trio.CancelScope() as scope:
         scope.cancel()
-        await kept.reply(200, [(b"content-length", b"5"), (b"x-response-seal", b"first")])
-        await kept.write(b"first")
-        await kept.finish()
+        await buffered.reply(200, [(b"content-length", b"5"), (b"x-response-seal", b"first")])
+        await buffered.write(b"first")
+        await buffered.finish()
     assert scope.cancelled_caught and not caller.is_reply_begun()
-    await kept.reply(200, [(b"content-length", b"6"), (b"x-response-seal", b"second")])
-    assert await kept.write(b"second") and await kept.finish()
-    got = bytes(await near.receive_some())
-    assert b"x-response-seal: second" in got.lower()
-    assert got.endswith(b"\r\n\r\nsecond")
-    assert b"first" not in got
+    await buffered.reply(200, [(b"content-length", b"6"), (b"x-response-seal", b"second")])
+    assert await buffered.write(b"second") and await buffered.finish()
+    received = bytes(await near.receive_some())
+    assert b"x-response-seal: second" in received.lower()
+    assert received.endswith(b"\r\n\r\nsecond")
+    assert b"first" not in received
 
 
 @pytest.mark.parametrize("is_repeatable", [True, False])
-async def test_chunks_of_an_answer_override_its_length(
+async def test_chunked_reply_is_passed_on_without_content_length(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, is_repeatable: bool
 ) -> None:
     """Guards against passing on Content-Length beside a chunked body.
 
     The caller's connection was closed without a reply.
     """
-    got = await ask(monkeypatch, [answer_with_two_lengths], is_repeatable=is_repeatable)
-    assert got == (200, len(b"sixsix"))
+    received = await ask(monkeypatch, [answer_with_two_lengths], is_repeatable=is_repeatable)
+    assert received == (200, len(b"sixsix"))
--- a/tests/request/test_delivery.py
+++ b/tests/request/test_delivery.py
@@ -35,10 +35,10 @@
     return state
 
 
-def build_call(left_s: float) -> exchange.Call:
+def build_call(remaining_s: float) -> exchange.Call:
     call = test_origin.build_call(is_repeatable=True)
     call.service = SERVICE
-    call.deadline_at_s = trio.current_time() + left_s
+    call.deadline_at_s = trio.current_time() + remaining_s
     assert call.rules is not None
     call.rules = exchange.Rules(
         is_repeatable=True,
@@ -84,7 +84,7 @@
         (close_by_ending, outcome.Reason.STOPPING),
     ],
 )
-async def test_closed_gate_refuses_truthfully(
+async def test_refused_request_is_not_sent_to_the_target(
     autojump_clock: trio.testing.MockClock,
     close: collections.abc.Callable[[delivery.Delivery, exchange.Call], None],
     reason: outcome.Reason,
@@ -102,13 +102,13 @@
     close(state, call)
     await trio.sleep(state.node.place.drain_s)
     call.deadline_at_s = trio.current_time() + 2.0
-    ended = await run(state, call)
-    assert ended.result.verdict is outcome.Verdict.NOT_RUN
-    assert ended.result.reason is reason
+    completion = await run(state, call)
+    assert completion.result.verdict is outcome.Verdict.NOT_RUN
+    assert completion.result.reason is reason
     assert not state.node.admission.starts
 
 
-async def test_request_that_ends_before_its_key_comes_is_refused_at_once(
+async def test_request_that_expires_before_its_key_is_granted_is_refused_at_once(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against holding a request until its deadline when its key arrives too late for it.
@@ -117,14 +117,14 @@
     """
     state = build_delivery()
     started_at = trio.current_time()
-    ended = await run(state, build_call(0.8))
+    completion = await run(state, build_call(0.8))
     assert trio.current_time() == started_at
-    assert ended.result.reason is outcome.Reason.LEASE_LAPSED
+    assert completion.result.reason is outcome.Reason.LEASE_LAPSED
     # The node's heartbeat interval is 1 s.
-    assert 1.0 <= ended.retry_after_s <= 1.5
+    assert 1.0 <= completion.retry_after_s <= 1.5
 
 
-async def test_request_that_can_wait_for_its_key_does(
+async def test_request_waits_for_its_key_within_its_deadline(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against refusing a request that has time to wait until its key is granted.
@@ -133,35 +133,35 @@
     """
     state = build_delivery()
     started_at = trio.current_time()
-    ended = await run(state, build_call(2.0))
-    assert ended.result.reason is outcome.Reason.LEASE_LAPSED
+    completion = await run(state, build_call(2.0))
+    assert completion.result.reason is outcome.Reason.LEASE_LAPSED
     assert 1.0 < trio.current_time() - started_at < 2.0
 
 
-async def test_target_is_told_no_more_time_than_is_left(
+async def test_target_gets_the_remaining_time_as_budget(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against a time budget that ignores the time that the request waited in the queue."""
     state = build_delivery()
     node_module.notify_changed(state.node)
-    told: list[float] = []
+    budgets: list[float] = []
 
-    def dress(
+    def build_headers(
         call: exchange.Call, lifetime: identity.Lifetime, budget_s: float
     ) -> exchange.Headers:
-        told.append(budget_s)
+        budgets.append(budget_s)
         return []
 
-    state.dialect = dataclasses.replace(state.dialect, build_headers=dress)
+    state.dialect = dataclasses.replace(state.dialect, build_headers=build_headers)
     call = build_call(2.0)
     assert call.rules is not None
     call.rules = dataclasses.replace(call.rules, key_slot=None)
     await trio.sleep(1.25)
     await run(state, call)
-    assert told == [pytest.approx(0.75)]
+    assert budgets == [pytest.approx(0.75)]
 
 
-async def test_slot_is_free_while_an_answer_is_on_its_way(
+async def test_slot_is_released_when_the_reply_begins(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against slots that stay occupied while a large reply is sent over a slow link.
@@ -204,8 +204,8 @@
             finish=take,
             is_gone=lambda: False,
         )
-        ended = await delivery.run(state, call, caller)
-        assert ended.result.verdict is outcome.Verdict.ANSWERED
+        completion = await delivery.run(state, call, caller)
+        assert completion.result.verdict is outcome.Verdict.ANSWERED
         ended_at.append(trio.current_time())
 
     started_at = trio.current_time()
--- a/tests/request/test_endless.py
+++ b/tests/request/test_endless.py
@@ -85,12 +85,12 @@
     call.method = method
     call.deadline_at_s = trio.current_time() + DEADLINE_S
     started_at = trio.current_time()
-    ended = await delivery.run(entry.delivery, call, test_refusals.build_caller())
-    return ended, trio.current_time() - started_at, entry
+    completion = await delivery.run(entry.delivery, call, test_refusals.build_caller())
+    return completion, trio.current_time() - started_at, entry
 
 
 @pytest.mark.parametrize(
-    ("first", "unit", "most_bytes", "verdict"),
+    ("first", "unit", "max_bytes", "verdict"),
     [
         # Data before the reply.
         (b"", b"a", HEAD_BYTES, LOST),
@@ -121,17 +121,17 @@
     autojump_clock: trio.testing.MockClock,
     first: bytes,
     unit: bytes,
-    most_bytes: int,
+    max_bytes: int,
     verdict: outcome.Verdict,
 ) -> None:
     """Guards against an endless reply that occupies a slot and the loop until the deadline."""
     target = Target(first=first, unit=fill(unit), pause_s=FLOOD_PAUSE_S, nursery=nursery)
-    ended, took_s, entry = await run(target)
-    assert ended.result.verdict is verdict
+    completion, took_s, entry = await run(target)
+    assert completion.result.verdict is verdict
     assert not entry.node.admission.running
     with trio.fail_after(DEADLINE_S):
         await target.is_closed.wait()
-    assert target.sent <= most_bytes + SLACK_BYTES
+    assert target.sent <= max_bytes + SLACK_BYTES
     assert took_s < DEADLINE_S
 
 
@@ -145,19 +145,19 @@
         ("POST", OK + OWN + SEALED + b"Content-Length: 0\r\n\r\n"),
     ],
 )
-async def test_endless_bytes_after_an_answer_are_not_read(
+async def test_endless_data_after_a_complete_reply_is_not_read(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, method: str, first: bytes
 ) -> None:
     """Guards against reading data that follows a complete reply and belongs to no request."""
     target = Target(first=first, unit=fill(b"a"), pause_s=FLOOD_PAUSE_S, nursery=nursery)
-    ended, _, _ = await run(target, method=method)
-    assert ended.result.verdict is ANSWERED
+    completion, _, _ = await run(target, method=method)
+    assert completion.result.verdict is ANSWERED
     await trio.sleep(DEADLINE_S)
     assert target.sent <= SLACK_BYTES
 
 
 @pytest.mark.parametrize(
-    ("first", "unit", "most_s", "verdict"),
+    ("first", "unit", "max_s", "verdict"),
     [
         (REFUSAL, TINY_CHUNK, SKIP_S, NOT_RUN),
         (REFUSAL + b"1;", b"a", SKIP_S, NOT_RUN),
@@ -173,32 +173,32 @@
     autojump_clock: trio.testing.MockClock,
     first: bytes,
     unit: bytes,
-    most_s: float,
+    max_s: float,
     verdict: outcome.Verdict,
 ) -> None:
     """Guards against a reply whose occasional bytes keep it below every idle limit."""
     target = Target(first=first, unit=unit, pause_s=TRICKLE_PAUSE_S, nursery=nursery)
-    ended, took_s, entry = await run(target)
-    assert ended.result.verdict is verdict
-    assert took_s <= most_s + SLACK_S
+    completion, took_s, entry = await run(target)
+    assert completion.result.verdict is verdict
+    assert took_s <= max_s + SLACK_S
     assert not entry.node.admission.running
     with trio.fail_after(DEADLINE_S):
         await target.is_closed.wait()
 
 
-async def test_long_answer_with_an_announced_length_passes_whole(
+async def test_long_reply_with_content_length_is_passed_on_completely(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against applying the limits to a reply whose length is announced."""
     length = STREAM_BYTES + wire.READ_BYTES
     first = OK + OWN + SEALED + b"Content-Length: %d\r\n\r\n" % length
     target = Target(first=first, unit=fill(b"a"), pause_s=FLOOD_PAUSE_S, nursery=nursery)
-    ended, _, _ = await run(target)
-    assert ended.result.verdict is ANSWERED
+    completion, _, _ = await run(target)
+    assert completion.result.verdict is ANSWERED
 
 
 @pytest.mark.parametrize("side", [wire.open_client, wire.open_server])
-async def test_tiny_pieces_let_other_tasks_run(
+async def test_tiny_chunks_let_other_tasks_run(
     side: collections.abc.Callable[[trio.abc.Stream], wire.Wire],
 ) -> None:
     """Guards against blocking the event loop for the thousands of pieces that one read brings."""
@@ -212,23 +212,23 @@
         head = b"POST / HTTP/1.1\r\nHost: x\r\n"
         await theirs.send_all(head + CHUNKED + fill(TINY_CHUNK) + b"0\r\n\r\n")
     pieces = 0
-    most = 0
+    max_pieces = 0
 
-    async def watch() -> None:
-        nonlocal most, pieces
+    async def count_pieces() -> None:
+        nonlocal max_pieces, pieces
         while True:
             await trio.lowlevel.checkpoint()
-            most, pieces = max(most, pieces), 0
+            max_pieces, pieces = max(max_pieces, pieces), 0
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(watch)
+        nursery.start_soon(count_pieces)
         while True:
             event = wire.poll(conn) or (await wire.receive(conn)).unwrap()
             pieces += 1
             if isinstance(event, h11.EndOfMessage):
                 break
         nursery.cancel_scope.cancel()
-    assert max(most, pieces) <= 2 * wire.MAX_EVENTS_BEFORE_YIELD
+    assert max(max_pieces, pieces) <= 2 * wire.MAX_EVENTS_BEFORE_YIELD
 
 
 @pytest.mark.parametrize("unit", [CHUNK, TINY_CHUNK])
@@ -245,8 +245,8 @@
     view = node_module.read_view(entry.node, name)
     call = test_refusals.build_order("r1")
     started_at = trio.current_time()
-    ended = await origin._forward(entry, call, test_refusals.build_caller(), name, view)
-    assert ended.result == outcome.refuse(outcome.Reason.QUEUE_FULL)
+    completion = await origin._forward(entry, call, test_refusals.build_caller(), name, view)
+    assert completion.result == outcome.refuse(outcome.Reason.QUEUE_FULL)
     assert trio.current_time() - started_at <= SKIP_S + SLACK_S
     assert target.sent <= STRAY_BYTES + SLACK_BYTES
     with trio.fail_after(DEADLINE_S):
--- a/tests/request/test_explanation.py
+++ b/tests/request/test_explanation.py
@@ -49,7 +49,7 @@
     assert "repeats that this node may make now: 1" in text
 
 
-async def test_reasons_for_passing_by_a_target_are_named() -> None:
+async def test_reasons_for_avoiding_a_target_are_explained() -> None:
     """Guards against an explanation that does not say why a target is avoided."""
     entry = build_origin()
     entry.node.evacuated = frozenset({identity.ZoneId("z1")})
@@ -61,11 +61,11 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "slot", "expected"),
+    ("path", "key_slot", "expected"),
     [("/none/", None, "404"), ("/lookup/", None, "need a key: 400")],
 )
-def test_refusals_are_explained(path: str, slot: int | None, expected: str) -> None:
-    assert expected in "\n".join(explanation.explain(build_origin(), mesh.HOST, path, slot))
+def test_refusals_are_explained(path: str, key_slot: int | None, expected: str) -> None:
+    assert expected in "\n".join(explanation.explain(build_origin(), mesh.HOST, path, key_slot))
 
 
 async def test_range_without_a_holder_is_explained() -> None:
--- a/tests/request/test_foreign.py
+++ b/tests/request/test_foreign.py
@@ -22,12 +22,12 @@
     return head.encode() + body
 
 
-def build_caller(got: list[bytes]) -> exchange.Caller:
+def build_caller(received: list[bytes]) -> exchange.Caller:
     async def reply(status: int, headers: exchange.Headers) -> bool:
         return True
 
     async def write(data: bytes) -> bool:
-        got.append(data)
+        received.append(data)
         return True
 
     async def finish() -> bool:
@@ -42,34 +42,36 @@
     return result.Success(b"")
 
 
-async def ask(slot: pool.PooledConnection, request_id: str, got: list[bytes]) -> dispatch.Attempt:
+async def ask(
+    connection: pool.PooledConnection, request_id: str, received: list[bytes]
+) -> dispatch.Attempt:
     call = test_origin.build_call(is_repeatable=True)
     call.request_id = request_id
     call.headers = [(b"host", b"x"), (b"x-attempt-id", request_id.encode())]
 
-    caller = build_caller(got)
-    ended = dispatch.Attempt()
+    caller = build_caller(received)
+    attempt = dispatch.Attempt()
 
-    def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+    def filter_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         return headers if dialect.classify_reply(status, headers).value == "answer" else None
 
     with trio.move_on_after(5.0):
         await dispatch.run(
-            slot,
+            connection,
             call,
             caller,
             extra_headers=[],
-            filter_reply=relay,
-            attempt=ended,
+            filter_reply=filter_reply,
+            attempt=attempt,
             now=trio.current_time,
             correlate=lambda headers: dialect.correlate(headers, call.request_id),
         )
-    return ended
+    return attempt
 
 
 @pytest.mark.parametrize("extra_id", ["r1", None])
 @pytest.mark.parametrize("is_late", [False, True])
-async def test_second_answer_is_never_taken_for_the_next(
+async def test_duplicate_reply_is_never_taken_for_the_next(
     autojump_clock: trio.testing.MockClock, extra_id: str | None, is_late: bool
 ) -> None:
     """Guards against taking a target's second reply to a request for the reply to the next one."""
@@ -79,21 +81,21 @@
         return ours
 
     state = pool.Pool(connect=connect, now=trio.current_time)
-    slot = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
-    got: list[bytes] = []
+    connection = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
+    received: list[bytes] = []
     extra = build_answer(extra_id, b"extra")
     await theirs.send_all(build_answer("r1", b"first") + (b"" if is_late else extra))
-    assert (await ask(slot, "r1", got)).step is dispatch.Step.RELAYED
-    assert slot.conn is not None and wire.recycle(slot.conn)
+    assert (await ask(connection, "r1", received)).step is dispatch.Step.RELAYED
+    assert connection.conn is not None and wire.recycle(connection.conn)
     await theirs.send_all((extra if is_late else b"") + build_answer("r2", b"second"))
-    ended = await ask(slot, "r2", got)
+    attempt = await ask(connection, "r2", received)
     # A reply that names no request is not passed on; the next one may be passed on or not.
-    assert got in ([b"first", b"second"], [b"first"])
+    assert received in ([b"first", b"second"], [b"first"])
     if extra_id is not None:
-        assert ended.step is dispatch.Step.RELAYED
+        assert attempt.step is dispatch.Step.RELAYED
 
 
-async def test_held_answer_of_a_broken_attempt_is_forgotten() -> None:
+async def test_buffered_reply_of_a_broken_attempt_is_discarded() -> None:
     """Guards against a retry whose reply begins with the buffered part of the broken one."""
     sent: list[object] = []
 
@@ -111,16 +113,16 @@
     caller = exchange.Caller(
         receive=None, reply=reply, write=write, finish=finish, wait_gone=None, is_gone=None  # type: ignore[arg-type]
     )
-    kept = buffering.buffer_reply(caller)
-    await kept.reply(200, [(b"a", b"broken")])
-    await kept.write(b"half of")
-    await kept.reply(200, [(b"a", b"whole")])
-    await kept.write(b"the answer")
-    await kept.finish()
+    buffered = buffering.buffer_reply(caller)
+    await buffered.reply(200, [(b"a", b"broken")])
+    await buffered.write(b"half of")
+    await buffered.reply(200, [(b"a", b"whole")])
+    await buffered.write(b"the answer")
+    await buffered.finish()
     assert sent == [[(b"a", b"whole")], b"the answer"]
 
 
-async def test_connection_of_a_half_written_body_is_not_used_again(
+async def test_connection_with_an_incomplete_request_body_is_not_reused(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against reusing a connection on which a request body was not sent completely.
@@ -144,22 +146,22 @@
         return ours
 
     state = pool.Pool(connect=connect, now=trio.current_time)
-    slot = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
+    connection = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
     call = test_origin.build_call(is_repeatable=True)
     call.headers = [(b"host", b"x")]
     call.is_body_buffered = False
     call.length = None
-    got: list[bytes] = []
-    caller = dataclasses.replace(build_caller(got), receive=receive_end)
-    ended = dispatch.Attempt()
+    received: list[bytes] = []
+    caller = dataclasses.replace(build_caller(received), receive=receive_end)
+    attempt = dispatch.Attempt()
     await dispatch.run(
-        slot,
+        connection,
         call,
         caller,
         extra_headers=[],
         filter_reply=lambda status, headers: headers,
-        attempt=ended,
+        attempt=attempt,
         now=trio.current_time,
     )
-    assert ended.step is dispatch.Step.RELAYED
-    assert not pool.try_release(state, slot)
+    assert attempt.step is dispatch.Step.RELAYED
+    assert not pool.try_release(state, connection)
--- a/tests/request/test_front.py
+++ b/tests/request/test_front.py
@@ -104,7 +104,7 @@
     assert [part[-1:] for part in reply.split(b"HTTP/1.1 200")[1:]] == [b"3", b"0"]
 
 
-async def test_caller_that_sends_ahead_has_not_left(
+async def test_caller_that_sends_ahead_is_not_taken_for_gone(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against taking a caller that sends ahead for one that has left.
--- a/tests/request/test_hedge.py
+++ b/tests/request/test_hedge.py
@@ -30,14 +30,14 @@
 
 
 def build_try(
-    took: list[str], name: str, delay_s: float, *, is_lost: bool = False
+    events: list[str], name: str, delay_s: float, *, is_lost: bool = False
 ) -> hedge.RunAttempt:
-    async def run(*, gate: dispatch.FilterReply) -> exchange.Completion:
+    async def run(*, filter_reply: dispatch.FilterReply) -> exchange.Completion:
         await trio.sleep(delay_s)
-        if is_lost or gate(200, []) is None:
-            took.append(f"{name} withheld")
+        if is_lost or filter_reply(200, []) is None:
+            events.append(f"{name} withheld")
             return exchange.Completion(result=outcome.unknown(outcome.Reason.CONNECTION_LOST))
-        took.append(name)
+        events.append(name)
         return exchange.Completion(result=ANSWERED, is_answered=True)
 
     return run
@@ -62,9 +62,9 @@
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against two replies to one request, and against hedges beyond the budget."""
-    took: list[str] = []
-    first = build_try(took, "first", first_s)
-    second = build_try(took, "second", second_s, is_lost=is_lost)
-    ended = await hedge.run(build_site(level), first, lambda: second, after_s=0.05)
-    assert took == expected
-    assert ended.is_answered
+    events: list[str] = []
+    first = build_try(events, "first", first_s)
+    second = build_try(events, "second", second_s, is_lost=is_lost)
+    completion = await hedge.run(build_site(level), first, lambda: second, after_s=0.05)
+    assert events == expected
+    assert completion.is_answered
--- a/tests/request/test_relay.py
+++ b/tests/request/test_hop_headers.py
@@ -32,8 +32,8 @@
     )
 
 
-@pytest.mark.parametrize("slot", [None, 0, 65_535])
-def test_what_a_hop_tells_comes_back(slot: int | None) -> None:
+@pytest.mark.parametrize("key_slot", [None, 0, 65_535])
+def test_headers_of_a_hop_are_parsed_back(key_slot: int | None) -> None:
     """Guards against limits that reject the headers that a node itself writes."""
     call = build_call()
     call.service = identity.ServiceId("lookup")
@@ -43,7 +43,7 @@
         priority=0,
         objective_s=0.3,
         origin_service=identity.ServiceId("órdenes"),
-        key_slot=slot,
+        key_slot=key_slot,
         route="r, with a comma",
     )
     read = build_call()
@@ -52,7 +52,7 @@
     assert (read.service, read.deadline_at_s) == ("lookup", pytest.approx(5.0, abs=0.002))
 
 
-def test_hop_is_told_from_a_message_of_a_node() -> None:
+def test_hop_is_distinguished_from_a_message_of_a_node() -> None:
     """Guards against taking a forwarded request for a message between nodes.
 
     Callers choose the path, and one of the paths of the nodes' own messages was mistaken for one.
@@ -61,7 +61,7 @@
     assert not hop_headers.is_hop([(b"host", b"x")])
 
 
-ODD_REFUSALS = [
+INVALID_REFUSALS = [
     (b"not-run:queue-full", b"nan", None),
     (b"not-run:queue-full", b"-1", None),
     (b"not-run:queue-full", DIGITS, None),
@@ -74,19 +74,21 @@
 ]
 
 
-@pytest.mark.parametrize(("value", "retry_after", "owner"), ODD_REFUSALS)
-def test_odd_refusals_of_other_nodes(value: bytes, retry_after: bytes, owner: bytes | None) -> None:
+@pytest.mark.parametrize(("value", "retry_after", "owner"), INVALID_REFUSALS)
+def test_invalid_refusals_of_other_nodes(
+    value: bytes, retry_after: bytes, owner: bytes | None
+) -> None:
     """Guards against an invalid header that ends the node's process or is taken for "not run"."""
     headers = [(b"retry-after", retry_after)]
     if owner is not None:
         headers.append((hop_headers.OWNER_HEADER, owner))
-    ended = hop_headers.read_refusal(value, headers)
-    assert ended.result.verdict is outcome.Verdict.UNKNOWN
-    assert math.isfinite(ended.retry_after_s) and ended.retry_after_s >= 0
-    assert ended.owner is None
+    completion = hop_headers.read_refusal(value, headers)
+    assert completion.result.verdict is outcome.Verdict.UNKNOWN
+    assert math.isfinite(completion.retry_after_s) and completion.retry_after_s >= 0
+    assert completion.owner is None
 
 
-ODD_LOADS = [
+INVALID_LOADS = [
     b"",
     b"1,2,3",
     b"\xff,6,100,0.5,0.01",
@@ -103,8 +105,8 @@
 ]
 
 
-@pytest.mark.parametrize("value", ODD_LOADS)
-def test_odd_loads_of_other_nodes(value: bytes) -> None:
+@pytest.mark.parametrize("value", INVALID_LOADS)
+def test_invalid_loads_of_other_nodes(value: bytes) -> None:
     """Guards against an invalid load that ends the node's process or breaks later comparisons."""
     view = selection.TargetView(slots=4)
     before = dataclasses.replace(view)
@@ -114,7 +116,7 @@
 
 
 @hypothesis.given(strategies.binary(max_size=60), strategies.binary(max_size=20))
-def test_any_bytes_in_headers_raise_nothing(value: bytes, other: bytes) -> None:
+def test_arbitrary_bytes_in_headers_raise_nothing(value: bytes, other: bytes) -> None:
     """Guards against exceptions from header parsing, which end all tasks of the process."""
     view = selection.TargetView(slots=4)
     hop_headers.record_load(view, [(hop_headers.LOAD_HEADER, value)], 3.0)
@@ -146,14 +148,14 @@
     return call
 
 
-ODD_CRASHES = [b"", b"\xff", b"[1e400]", b'{"x":1}', b'["a",3]', test_odd_input.DEEP]
+INVALID_CRASH_REPORTS = [b"", b"\xff", b"[1e400]", b'{"x":1}', b'["a",3]', test_odd_input.DEEP]
 
 
-@pytest.mark.parametrize("body", ODD_CRASHES, ids=range(len(ODD_CRASHES)))
-async def test_odd_accusations_are_refused(
+@pytest.mark.parametrize("body", INVALID_CRASH_REPORTS, ids=range(len(INVALID_CRASH_REPORTS)))
+async def test_invalid_crash_reports_are_refused(
     body: bytes, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against quarantining requests on an invalid crash report."""
-    watch = test_origin.build_origin(0.0).delivery.crash_detector
-    assert not crash.receive_push(watch, body)
-    assert not watch.quarantine.crashes
+    detector = test_origin.build_origin(0.0).delivery.crash_detector
+    assert not crash.receive_push(detector, body)
+    assert not detector.quarantine.crashes
--- a/tests/request/test_origin.py
+++ b/tests/request/test_origin.py
@@ -36,10 +36,10 @@
 
 def build_origin(level: float) -> origin.Origin:
     address = "10.0.0.1:1"
-    own = places.build_place("me", "lookup", address, heartbeat_s=1.0, store=address)
+    place = places.build_place("me", "lookup", address, heartbeat_s=1.0, store=address)
     wakeups = timer.Timer(clock=trio.current_time)
     node = node_module.Node(
-        place=own,
+        place=place,
         incarnation=identity.Incarnation("a"),
         wakeups=wakeups,
         now=trio.current_time,
@@ -114,16 +114,18 @@
 ) -> tuple[int, outcome.Outcome]:
     """Return how many targets were tried and how the request ended."""
     entry = build_origin(level)
-    left = list(results)
+    remaining = list(results)
 
     async def try_one(*_: object) -> delivery.Completion:
-        return delivery.Completion(result=left.pop(0) if left else results[-1], retry_after_s=0.1)
+        return delivery.Completion(
+            result=remaining.pop(0) if remaining else results[-1], retry_after_s=0.1
+        )
 
     monkeypatch.setattr(origin, "_try_one", try_one)
     tried: list[identity.NodeId] = []
     call = build_call(is_repeatable=is_repeatable)
-    ended = await origin._try_all(entry, call, NO_CALLER, tried)
-    return len(tried), ended.result
+    completion = await origin._try_all(entry, call, NO_CALLER, tried)
+    return len(tried), completion.result
 
 
 SHED = outcome.refuse(outcome.Reason.TARGET_SHED)
@@ -152,7 +154,7 @@
         ([FULL, GONE], 9.0, False, 2),
     ],
 )
-async def test_how_many_targets_are_tried(
+async def test_number_of_tried_targets(
     monkeypatch: pytest.MonkeyPatch,
     results: list[outcome.Outcome],
     level: float,
@@ -164,7 +166,7 @@
     assert tried == tries
 
 
-async def test_repeats_of_a_service_keep_to_its_own_requests(
+async def test_retry_budget_is_kept_per_service(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a retry budget that is shared by services.
@@ -191,68 +193,68 @@
 
 
 @pytest.mark.parametrize("is_sent", [False, True])
-async def test_node_is_not_blamed_for_a_caller_that_leaves(
+async def test_node_is_not_avoided_when_a_caller_leaves(
     monkeypatch: pytest.MonkeyPatch, is_sent: bool
 ) -> None:
     """Guards against avoiding a healthy node because callers left during its replies."""
     entry = build_origin(0.0)
 
     async def leave(*args: typing.Any) -> None:
-        ended = args[-1]
-        ended.attempt.step, ended.attempt.is_sent = dispatch.Step.CALLER_GONE, is_sent
+        completion = args[-1]
+        completion.attempt.step, completion.attempt.is_sent = dispatch.Step.CALLER_GONE, is_sent
 
     monkeypatch.setattr(attempt, "run", leave)
     call = build_call(is_repeatable=True)
-    ended = await origin._try_one(entry, call, NO_CALLER, NAMES[0])
-    assert ended.result.reason is outcome.Reason.CALLER_GONE
+    completion = await origin._try_one(entry, call, NO_CALLER, NAMES[0])
+    assert completion.result.reason is outcome.Reason.CALLER_GONE
     assert node_module.read_view(entry.node, NAMES[0]).failures == 0
 
 
-async def test_refusal_after_a_lost_answer_is_no_refusal(
+async def test_refusal_after_a_lost_reply_is_reported_as_unknown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against reporting "not run" when an earlier attempt may have run."""
-    _, ended = await run(monkeypatch, [LOST, FULL], level=9.0, is_repeatable=True)
-    assert ended.verdict is outcome.Verdict.UNKNOWN
+    _, result = await run(monkeypatch, [LOST, FULL], level=9.0, is_repeatable=True)
+    assert result.verdict is outcome.Verdict.UNKNOWN
 
 
 @pytest.mark.parametrize("reason", list(outcome.Reason))
-async def test_refusals_promise_no_more_than_they_keep(reason: outcome.Reason) -> None:
+async def test_refusals_are_reported_with_503(reason: outcome.Reason) -> None:
     """Guards against a status other than 503 for a request that the router did not run."""
-    told: list[int] = []
+    statuses: list[int] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
-        told.append(status)
+        statuses.append(status)
         return False
 
     caller = dataclasses.replace(NO_CALLER, reply=reply)
     await origin.send_refusal(caller, outcome.refuse(reason), 1.0)
     callers_own = {outcome.Reason.BAD_REQUEST: 400, outcome.Reason.NO_SUCH_SERVICE: 404}
-    assert told == [callers_own.get(reason, 503)]
+    assert statuses == [callers_own.get(reason, 503)]
 
 
 @pytest.mark.parametrize("reason", list(outcome.Reason))
-async def test_doubts_promise_nothing(reason: outcome.Reason) -> None:
+async def test_unknown_outcomes_are_not_reported_as_not_run(reason: outcome.Reason) -> None:
     """Guards against a status that callers take for "not run" when the request may have run.
 
     Callers send a non-idempotent request again after 408, 421, 429 and 503.
     """
-    told: list[int] = []
+    statuses: list[int] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
-        told.append(status)
+        statuses.append(status)
         return False
 
     caller = dataclasses.replace(NO_CALLER, reply=reply)
     await origin.send_refusal(caller, outcome.unknown(reason), 1.0)
-    assert told[0] not in (408, 421, 429, 503)
+    assert statuses[0] not in (408, 421, 429, 503)
 
 
-async def test_changed_settings_reach_the_repeats_of_all_services() -> None:
+async def test_changed_settings_apply_to_the_retry_budgets_of_all_services() -> None:
     """Guards against budgets that keep the burst of a smaller mesh or the share of old settings."""
-    repeats = budget.ServiceBudgets(share=0.1, burst=8.0)
-    before = budget.find_budget(repeats, ORDERS)
-    budget.divide_burst(repeats, 16.0, 4)
-    budget.set_share(repeats, 0.5)
-    after = budget.find_budget(repeats, identity.ServiceId("lookup"))
+    allowance = budget.ServiceBudgets(share=0.1, burst=8.0)
+    before = budget.find_budget(allowance, ORDERS)
+    budget.divide_burst(allowance, 16.0, 4)
+    budget.set_share(allowance, 0.5)
+    after = budget.find_budget(allowance, identity.ServiceId("lookup"))
     assert before == after == budget.Budget(share=0.5, burst=2.0, level=2.0)
--- a/tests/request/test_reachability.py
+++ b/tests/request/test_reachability.py
@@ -47,18 +47,20 @@
     return reachability.Monitor(node=node, peers=peers, connect=connect)
 
 
-async def send(watch: reachability.Monitor, *, is_repeatable: bool = True) -> pool.PooledConnection:
+async def send(
+    monitor: reachability.Monitor, *, is_repeatable: bool = True
+) -> pool.PooledConnection:
     """Send a request that the node does not answer."""
-    slot = (await pool.acquire(watch.peers, ADDRESS, p99_s=None)).unwrap()
-    slot.is_repeatable = is_repeatable
-    liveness.record_awaiting(slot.state, trio.current_time())
-    return slot
+    connection = (await pool.acquire(monitor.peers, ADDRESS, p99_s=None)).unwrap()
+    connection.is_repeatable = is_repeatable
+    liveness.record_awaiting(connection.state, trio.current_time())
+    return connection
 
 
-async def watch_for(watch: reachability.Monitor, seconds: float) -> None:
+async def watch_for(monitor: reachability.Monitor, seconds: float) -> None:
     for _ in range(round(seconds / 0.25)):
         await trio.sleep(0.25)
-        await reachability.check_peers(watch)
+        await reachability.check_peers(monitor)
 
 
 async def test_requests_to_a_frozen_node_end(
@@ -69,59 +71,59 @@
     923 requests did so on one day at Andinaflota. A frozen machine accepts connections as usual, so
     a new connection does not show that the node is alive.
     """
-    watch = build_watch(nursery, Peer(is_frozen=True))
-    slot = await send(watch)
-    await watch_for(watch, 1.5)
-    assert slot.scope.cancel_called
-    assert NAME in watch.unreachable
-    assert node_module.read_view(watch.node, NAME).avoid_until > trio.current_time()
+    monitor = build_watch(nursery, Peer(is_frozen=True))
+    connection = await send(monitor)
+    await watch_for(monitor, 1.5)
+    assert connection.scope.cancel_called
+    assert NAME in monitor.unreachable
+    assert node_module.read_view(monitor.node, NAME).avoid_until > trio.current_time()
 
 
-async def test_orders_to_a_frozen_node_have_more_patience(
+async def test_non_idempotent_requests_to_a_frozen_node_wait_longer(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against aborting non-idempotent requests as early as others.
 
     Their outcome is then unknown, and they cannot be retried at another node.
     """
-    watch = build_watch(nursery, Peer(is_frozen=True))
-    slot = await send(watch, is_repeatable=False)
-    await watch_for(watch, 1.5)
-    assert NAME in watch.unreachable
-    assert not slot.scope.cancel_called
-    await watch_for(watch, 2.5)
-    assert slot.scope.cancel_called
+    monitor = build_watch(nursery, Peer(is_frozen=True))
+    connection = await send(monitor, is_repeatable=False)
+    await watch_for(monitor, 1.5)
+    assert NAME in monitor.unreachable
+    assert not connection.scope.cancel_called
+    await watch_for(monitor, 2.5)
+    assert connection.scope.cancel_called
 
 
-async def test_stopping_node_takes_lookups_to_their_end(
+async def test_stopping_node_does_not_abort_requests_early(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against a stopping node that aborts a request after one missed ping.
 
     Issue 15, Darkroom grown: a lookup was aborted 0.24 s after SIGTERM while its target worked.
     """
-    watch = build_watch(nursery, Peer(is_frozen=True))
-    watch.node.is_stopping = True
-    slot = await send(watch)
-    await watch_for(watch, 1.5)
-    assert NAME in watch.unreachable
-    assert not slot.scope.cancel_called
-    await watch_for(watch, 2.5)
-    assert slot.scope.cancel_called
+    monitor = build_watch(nursery, Peer(is_frozen=True))
+    monitor.node.is_stopping = True
+    connection = await send(monitor)
+    await watch_for(monitor, 1.5)
+    assert NAME in monitor.unreachable
+    assert not connection.scope.cancel_called
+    await watch_for(monitor, 2.5)
+    assert connection.scope.cancel_called
 
 
-async def test_slow_answers_are_waited_for(
+async def test_slow_replies_are_awaited(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against aborting requests at a node that is slow but answers pings."""
-    watch = build_watch(nursery, Peer())
-    slot = await send(watch)
-    await watch_for(watch, 3.0)
-    assert not slot.scope.cancel_called
-    assert not watch.unreachable
+    monitor = build_watch(nursery, Peer())
+    connection = await send(monitor)
+    await watch_for(monitor, 3.0)
+    assert not connection.scope.cancel_called
+    assert not monitor.unreachable
 
 
-async def test_node_behind_a_busy_link_is_not_lost(
+async def test_node_behind_a_busy_link_stays_reachable(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against taking a node for unreachable while its link is busy with large replies.
@@ -129,40 +131,40 @@
     Issue 15: the replies to pings waited behind them. A ping on its own connection waits in the
     link's queue twice.
     """
-    watch = build_watch(nursery, Peer(delay_s=0.24))
-    slot = await send(watch)
-    await watch_for(watch, 3.0)
-    assert not watch.unreachable
-    assert not slot.scope.cancel_called
+    monitor = build_watch(nursery, Peer(delay_s=0.24))
+    connection = await send(monitor)
+    await watch_for(monitor, 3.0)
+    assert not monitor.unreachable
+    assert not connection.scope.cancel_called
 
 
-async def test_process_that_is_behind_reads_answers_late(
+async def test_lagging_process_allows_more_time_for_pings(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against a node short of processor time that takes the others for unreachable."""
     peer = Peer()
-    watch = build_watch(nursery, peer)
-    watch.node.loop_lag.late_s = 0.05
-    await send(watch)
+    monitor = build_watch(nursery, peer)
+    monitor.node.loop_lag.late_s = 0.05
+    await send(monitor)
     peer.delay_s = 0.5
-    await watch_for(watch, 3.0)
-    assert not watch.unreachable
+    await watch_for(monitor, 3.0)
+    assert not monitor.unreachable
 
 
-async def test_process_that_is_far_behind_finds_a_frozen_node(
+async def test_very_lagging_process_detects_a_frozen_node(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against an allowance for the event loop's lag that exceeds the requests' deadlines."""
-    watch = build_watch(nursery, Peer(is_frozen=True))
-    watch.node.loop_lag.late_s = 1.0
-    await send(watch)
+    monitor = build_watch(nursery, Peer(is_frozen=True))
+    monitor.node.loop_lag.late_s = 1.0
+    await send(monitor)
     await trio.sleep(1.5)
     with trio.move_on_after(reachability.PING_TIMEOUT_S + reachability.ABORT_ALL_AFTER_S + 0.01):
-        await reachability.check_peers(watch)
-    assert NAME in watch.unreachable
+        await reachability.check_peers(monitor)
+    assert NAME in monitor.unreachable
 
 
-async def test_node_that_wakes_is_used_again(
+async def test_node_that_answers_again_is_used_again(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against an unreachable node that only a failing request would test again.
@@ -170,31 +172,31 @@
     The node is pinged until it answers.
     """
     peer = Peer(is_frozen=True)
-    watch = build_watch(nursery, peer)
-    await send(watch)
-    await watch_for(watch, 2.0)
-    view = node_module.read_view(watch.node, NAME)
+    monitor = build_watch(nursery, peer)
+    await send(monitor)
+    await watch_for(monitor, 2.0)
+    view = node_module.read_view(monitor.node, NAME)
     assert view.avoid_until > trio.current_time()
     peer.is_frozen = False
-    await watch_for(watch, 0.5)
-    assert not watch.unreachable
+    await watch_for(monitor, 0.5)
+    assert not monitor.unreachable
     assert view.avoid_until <= trio.current_time()
 
 
 @pytest.mark.parametrize("is_member", [True, False])
-async def test_lost_nodes_that_have_left_are_forgotten(
+async def test_unreachable_nodes_that_have_left_are_forgotten(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, is_member: bool
 ) -> None:
     """Guards against endless pings of a machine that was replaced."""
-    watch = build_watch(nursery, Peer(is_frozen=True))
-    await send(watch)
-    await watch_for(watch, 1.5)
+    monitor = build_watch(nursery, Peer(is_frozen=True))
+    await send(monitor)
+    await watch_for(monitor, 1.5)
     if not is_member:
-        del watch.node.members[NAME]
-    assert (NAME in reachability.list_suspects(watch)) is is_member
+        del monitor.node.members[NAME]
+    assert (NAME in reachability.list_suspects(monitor)) is is_member
 
 
-async def test_another_node_at_the_address_of_a_lost_one(
+async def test_another_node_at_the_address_of_an_unreachable_one(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against taking the answers of another node at the same address for the lost node's.
@@ -202,15 +204,15 @@
     Incident inc-c150 of Andinaflota. Requests in flight to the address belong to its present node.
     """
     peer = Peer(is_frozen=True)
-    watch = build_watch(nursery, peer)
-    await send(watch)
-    await watch_for(watch, 1.5)
+    monitor = build_watch(nursery, peer)
+    await send(monitor)
+    await watch_for(monitor, 1.5)
     peer.is_frozen = False
     peer.answer = b"HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n"
-    slot = await send(watch)
-    await watch_for(watch, 1.5)
-    assert NAME in watch.unreachable
-    assert not slot.scope.cancel_called
+    connection = await send(monitor)
+    await watch_for(monitor, 1.5)
+    assert NAME in monitor.unreachable
+    assert not connection.scope.cancel_called
 
 
 @pytest.mark.parametrize(
@@ -220,6 +222,6 @@
         (f"{reachability.PING_PATH}{NAME}", 421),
     ],
 )
-def test_pings_name_the_node_that_is_meant(path: str, status: int) -> None:
+def test_pings_name_the_intended_node(path: str, status: int) -> None:
     node = test_origin.build_origin(0.0).node
     assert reachability.answer_ping(node, path) == status
--- a/tests/request/test_refusals.py
+++ b/tests/request/test_refusals.py
@@ -97,7 +97,7 @@
     async def finish() -> bool:
         return True
 
-    def find_gone() -> bool:
+    def is_gone() -> bool:
         return False
 
     return dataclasses.replace(
@@ -106,7 +106,7 @@
         write=write,
         finish=finish,
         wait_gone=trio.sleep_forever,
-        is_gone=find_gone,
+        is_gone=is_gone,
     )
 
 
@@ -149,15 +149,15 @@
 
 
 async def ask(entry: origin.Origin, name: str) -> outcome.Outcome:
-    ended = await delivery.run(entry.delivery, build_order(name), build_caller())
-    return ended.result
+    completion = await delivery.run(entry.delivery, build_order(name), build_caller())
+    return completion.result
 
 
 @pytest.mark.parametrize("when", ["with-refusal", "idle", "before-answer"])
 @pytest.mark.parametrize("is_named", [True, False])
 @pytest.mark.parametrize("status", [503, 429, 421])
 @pytest.mark.parametrize("again", ["r1", "r2"])
-async def test_earlier_refusal_is_never_taken_for_that_of_a_request_that_runs(
+async def test_earlier_refusal_is_never_taken_for_that_of_a_running_request(
     nursery: trio.Nursery,
     autojump_clock: trio.testing.MockClock,
     again: str,
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("status", [503, 429, 421, 400, 404, 500])
-async def test_answer_without_a_name_is_believed_only_on_a_new_connection(
+async def test_reply_without_a_request_id_is_trusted_only_on_a_new_connection(
     nursery: trio.Nursery,
     autojump_clock: trio.testing.MockClock,
     caplog: pytest.LogCaptureFixture,
@@ -203,7 +203,7 @@
     assert (await ask(entry, "r2")).verdict is outcome.Verdict.UNKNOWN
     assert target.ran == ["r1", "r2"]
     # The log shows operators why the outcome is unknown.
-    assert [one.message for one in caplog.records if one.message == "answer-spoiled"]
+    assert [record.message for record in caplog.records if record.message == "answer-spoiled"]
     assert (await ask(entry, "r3")).verdict is outcome.Verdict.ANSWERED
     assert target.opened == 2
 
@@ -229,23 +229,23 @@
     assert other.ran == []
 
 
-async def test_target_can_not_speak_for_its_node(
+async def test_target_cannot_send_its_node_headers(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against taking a faulty target's headers for a refusal by its node."""
     target = Target(nursery=nursery, answer_headers="Ebonyvalve-Refused: not-run:target-shed\r\n")
     entry = build_entry(target)
-    told: list[exchange.Headers] = []
+    replies: list[exchange.Headers] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
-        told.append(headers)
+        replies.append(headers)
         return True
 
     caller = dataclasses.replace(build_caller(), reply=reply)
     await origin.serve_hop(entry, build_order("r1"), caller)
     assert target.ran == ["r1"]
-    assert wire.find_header(told[0], hop_headers.REFUSED_HEADER) is None
-    assert wire.find_header(told[0], hop_headers.LOAD_HEADER) is not None
+    assert wire.find_header(replies[0], hop_headers.REFUSED_HEADER) is None
+    assert wire.find_header(replies[0], hop_headers.LOAD_HEADER) is not None
 
 
 @pytest.mark.parametrize(
@@ -258,7 +258,7 @@
         [(hop_headers.LOAD_HEADER, b"1,2")],
     ],
 )
-async def test_unreadable_answer_of_a_node_ends_no_process(
+async def test_unreadable_reply_of_a_node_does_not_end_the_process(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, headers: exchange.Headers
 ) -> None:
     """Guards against a node that fails on headers of another release, or trusts invalid ones."""
@@ -269,5 +269,5 @@
     name = identity.NodeId("other")
     entry.node.members[name] = build_member(entry, "other")
     view = node_module.read_view(entry.node, name)
-    ended = await origin._forward(entry, build_order("r1"), build_caller(), name, view)
-    assert ended.result.verdict is not outcome.Verdict.NOT_RUN
+    completion = await origin._forward(entry, build_order("r1"), build_caller(), name, view)
+    assert completion.result.verdict is not outcome.Verdict.NOT_RUN
--- a/tests/request/test_routing.py
+++ b/tests/request/test_routing.py
@@ -44,13 +44,13 @@
         )
         for index in range(4)
     }
-    known = {NODES[index]: load for index, load in (loads or {}).items()}
+    known_loads = {NODES[index]: load for index, load in (loads or {}).items()}
     return routing.View(
         node=NODES[0],
         zone=identity.ZoneId("near"),
         find_owner=lambda shard: None if owner is None else NODES[owner],
         find_fence=lambda shard: None if fence is None else identity.Fence(fence),
-        find_load=lambda node: known.get(node, routing.TargetLoad(latency_s=0.005)),
+        find_load=lambda node: known_loads.get(node, routing.TargetLoad(latency_s=0.005)),
         members=members,
         draw=random.Random(1).randrange,
     )
