--- a/src/ebonyvalve/request/attempt.py
+++ b/src/ebonyvalve/request/attempt.py
@@ -86,6 +86,7 @@
     now: collections.abc.Callable[[], float],
     attempt_result: AttemptResult,
 ) -> None:
+    """Take a connection, send the request on it, and keep or close the connection afterwards."""
     with trio.move_on_after(max(call.deadline_at_s - now(), 0)) as scope:
         acquired = await pool.acquire(
             context.pool,
@@ -205,12 +206,14 @@
 
 
 def _find_unsent_reason(attempt_result: AttemptResult) -> outcome.Reason:
+    """Return why no byte of a request was sent."""
     if attempt_result.attempt.step is dispatch.Step.CALLER_GONE:
         return outcome.Reason.CALLER_GONE
     return outcome.Reason.DEADLINE if attempt_result.is_timed_out else outcome.Reason.CONNECT_FAILED
 
 
 def _find_unknown_reason(attempt_result: AttemptResult) -> outcome.Reason:
+    """Return why the outcome of a request that was sent is unknown."""
     if attempt_result.is_timed_out:
         return outcome.Reason.DEADLINE
     if attempt_result.attempt.step is dispatch.Step.BODY_BROKEN:
--- a/src/ebonyvalve/request/crash.py
+++ b/src/ebonyvalve/request/crash.py
@@ -114,6 +114,7 @@
 
 
 async def _is_connection_refused(detector: Detector) -> bool:
+    """Return whether the target refuses a new connection."""
     address = detector.node.place.target_address
     opened = await pool.open_new(detector.pool, address)
     if isinstance(opened, result.Success):
--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -17,6 +17,7 @@
 
 log = logging.getLogger(__name__)
 
+# Stands for all requests without a key in the request rates by key slot.
 UNKEYED = -1
 # Weight of a refused request in the request rates. Callers that are refused retry, mostly twice.
 REFUSED_WEIGHT = 1 / 3
@@ -24,8 +25,8 @@
 GRANT_RETRY_S = 0.2
 # Retry delay while this process stops; it is restarted within about a second.
 RESTART_S = 1.0
-# A leaving target gets new requests until this long before the end of its drain, so that requests
-# in flight can finish.
+# A leaving target gets new requests for its keys until this long before the end of its drain, so
+# that requests in flight can finish.
 HANDOVER_MARGIN_S = 0.4
 # Retry delay for a quarantined request: about as long as the quarantine lasts.
 QUARANTINE_RETRY_S = 30.0
@@ -98,9 +99,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class SlotUse:
-    """A slot of the target that a request occupies since ``began_at``, seconds on the node's clock.
+    """A slot of the target, occupied by a request.
 
-    ``route`` names the request's route, by which latencies and sizes are tracked.
+    ``route`` names the request's route, by which work times and sizes are tracked. ``began_at`` is
+    in seconds on the node's clock.
     """
 
     ticket: admission.Ticket
@@ -174,6 +176,10 @@
 async def _find_refusal(
     delivery: Delivery, call: exchange.Call, rules: exchange.Rules, *, may_wait: bool = True
 ) -> Completion | None:
+    """Return the refusal of a request that the target cannot run now, or ``None`` if it can.
+
+    With ``may_wait`` a request waits for its key if the key can be granted before the deadline.
+    """
     node = delivery.node
     target = node.target
     if target is None or target.is_dead:
@@ -241,6 +247,7 @@
 
 
 def _refuse_moved(owner: str) -> Completion:
+    """Return the refusal of a key that another node serves; an empty name stands for no owner."""
     return Completion(
         result=outcome.refuse(outcome.Reason.MOVED),
         owner=identity.NodeId(owner) if owner else None,
@@ -300,6 +307,7 @@
 async def _attempt(
     delivery: Delivery, call: exchange.Call, caller: exchange.Caller, slot_use: SlotUse
 ) -> Completion:
+    """Send a request to the target, and conclude from its reply what became of it."""
     node, dialect, target = delivery.node, delivery.dialect, delivery.node.target
     assert target is not None
     reply_kind = [ReplyKind.ANSWER]
@@ -393,6 +401,7 @@
 
 
 def _conclude_withheld(node: node_module.Node, reply_kind: ReplyKind) -> Completion:
+    """Return the completion of a request whose reply was not passed on to the caller."""
     if reply_kind is ReplyKind.UNTRUSTED:
         return Completion(result=outcome.unknown(outcome.Reason.CONNECTION_LOST))
     if reply_kind is ReplyKind.WRONG_TARGET:
--- a/src/ebonyvalve/request/dispatch.py
+++ b/src/ebonyvalve/request/dispatch.py
@@ -171,6 +171,7 @@
 
 
 def _list_headers(call: exchange.Call, extra_headers: exchange.Headers) -> exchange.Headers:
+    """Return the headers to send, with chunked encoding for a body of unknown length."""
     headers = filter_headers(call.headers) + extra_headers
     if call.length is None and not (call.is_body_buffered and not call.prefix):
         headers.append((b"transfer-encoding", b"chunked"))
@@ -186,6 +187,7 @@
     proceed: trio.Event,
     now: collections.abc.Callable[[], float],
 ) -> None:
+    """Send the rest of the body once ``proceed`` is set; cancel ``scope`` if it breaks off."""
     await proceed.wait()
     while True:
         attempt.is_body_open = True
@@ -215,6 +217,7 @@
     now: collections.abc.Callable[[], float],
     correlate: Correlate | None,
 ) -> None:
+    """Receive the reply, and pass it on to the caller unless it is withheld."""
     conn = connection.conn
     assert conn is not None
     head = await _receive_head(connection, conn, proceed, correlate)
@@ -253,6 +256,11 @@
     proceed: trio.Event,
     correlate: Correlate | None,
 ) -> h11.Response | None:
+    """Return the head of the reply, skipping informational responses and replies to other requests.
+
+    Returns ``None`` if the connection breaks, the reply is invalid or a limit is exceeded. A
+    "100 Continue" sets ``proceed``.
+    """
     bytes_before = conn.received_bytes
     for _ in range(MAX_STRAY_ANSWERS):
         received = await wire.receive(conn)
@@ -298,6 +306,7 @@
     attempt: Attempt,
     now: collections.abc.Callable[[], float],
 ) -> None:
+    """Pass the body of a reply on to the caller, and set the attempt's step accordingly."""
     bytes_before = conn.received_bytes
     header_names = {name for name, _ in attempt.headers}
     is_length_announced = (
--- a/src/ebonyvalve/request/front.py
+++ b/src/ebonyvalve/request/front.py
@@ -114,6 +114,7 @@
 
 
 async def _serve_one(front: Front, conn: wire.Wire) -> bool:
+    """Serve the next request of a connection; return whether it can serve another one."""
     head = await _receive_head(front, conn)
     if head is None:
         return False
@@ -291,6 +292,7 @@
 
 
 async def _receive_body(incoming: Incoming) -> exchange.Chunk:
+    """Return the next part of the body, or why it could not be read."""
     if incoming.is_body_read:
         return result.Success(b"")
     if not incoming.is_continued and incoming.body_bytes >= PREFIX_BYTES:
@@ -338,6 +340,7 @@
 
 
 async def _reply_error(conn: wire.Wire, refusal: outcome.Outcome, text: str) -> None:
+    """Refuse a request that cannot be handled, and read for a moment what the caller still sends."""
     body = f"{text}\n".encode()
     headers = [
         (b"content-type", b"text/plain; charset=utf-8"),
--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -118,6 +118,7 @@
 
 
 async def _try_until_answered(shared: Handler, progress: Progress) -> outcome.Outcome:
+    """Make attempts until the caller has been sent a reply or a refusal."""
     here = shared.here
     if not progress.call.is_hop:
         budget.credit(here.retries)
@@ -150,6 +151,7 @@
 
 
 def _choose(shared: Handler, progress: Progress) -> routing.Route:
+    """Choose where the next attempt of a request runs."""
     call = progress.call
     return routing.choose(
         build_view(shared.here, call.key),
@@ -207,6 +209,7 @@
 async def _attempt(
     shared: Handler, progress: Progress, choice: routing.Route
 ) -> exchange.Completion:
+    """Make one attempt, with a hedge if the request may have one."""
     progress.attempts += 1
     node = choice.node or shared.here.node
     progress.tried.add(node)
@@ -396,6 +399,7 @@
     result: outcome.Outcome,
     progress: Progress | None,
 ) -> None:
+    """Log a finished request; of the answered ones only a sample."""
     is_answered = result.verdict is outcome.Verdict.ANSWERED
     if is_answered and not decision.is_sampled(call.request_id, shared.log_answered_share):
         return
--- a/src/ebonyvalve/request/hedge.py
+++ b/src/ebonyvalve/request/hedge.py
@@ -125,6 +125,8 @@
 
 
 async def _run_attempt(race: Race, number: int, attempt: RunAttempt) -> None:
+    """Run one attempt of a race; the first one with a reply wins and cancels the other."""
+
     def filter_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if race.winner is not None and race.winner != number:
             return None
--- a/src/ebonyvalve/request/hop.py
+++ b/src/ebonyvalve/request/hop.py
@@ -80,6 +80,7 @@
 
 
 def _may_retry_elsewhere(reported: outcome.Outcome, *, is_idempotent: bool) -> bool:
+    """Return whether a refusal by another node may be followed by an attempt elsewhere."""
     if reported.verdict is outcome.Verdict.ANSWERED:
         return False
     if reported.verdict is outcome.Verdict.UNKNOWN and not is_idempotent:
@@ -88,6 +89,7 @@
 
 
 def _conclude(attempt_result: attempts.AttemptResult) -> exchange.Completion:
+    """Return the completion of a request that was forwarded to another node."""
     attempt = attempt_result.attempt
     if attempt.step is dispatch.Step.WITHHELD:
         owner = wire.find_header(attempt.headers, front.OWNER_HEADER)
--- a/src/ebonyvalve/request/hop_headers.py
+++ b/src/ebonyvalve/request/hop_headers.py
@@ -115,6 +115,7 @@
 
 
 def _read_rules(value: bytes, origin_service: str) -> exchange.Rules | None:
+    """Return the rules in the value of a rules header, or ``None`` if it is invalid."""
     fields = value.split(b",", RULES_FIELDS - 1)
     if len(fields) != RULES_FIELDS:
         return None
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -154,6 +154,8 @@
     *,
     is_once: bool,
 ) -> attempts.AttemptContext:
+    """Return an attempt's context; its filter adds the outcome and the next token to the reply."""
+
     def filter_target_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if wire.find_header(headers, front.OUTCOME_HEADER) == b"not-run":
             return None
@@ -249,6 +251,7 @@
 def _refuse_token(
     here: site.Site, job: Job, tokens: token_memory.Memory, found: token.Finding
 ) -> exchange.Completion:
+    """Return the refusal for a token that is not fresh, with a fresh token for the caller."""
     headers = [(front.TOKEN_HEADER, issue(here, job, tokens))]
     if found.used is not None:
         return exchange.Completion(result=found.used, headers=headers)
@@ -277,6 +280,7 @@
 
 
 def _cancel_admission(here: site.Site, ticket: limit.Ticket) -> None:
+    """Withdraw a request from the queue, or release it if it was admitted meanwhile."""
     if ticket in here.admission.running:
         _end_admission(here, ticket, 0.0, limit.Reply.ABANDONED)
     else:
@@ -286,6 +290,7 @@
 def _end_admission(
     here: site.Site, ticket: limit.Ticket, latency_s: float, reply: limit.Reply
 ) -> None:
+    """Release an admitted request, and wake the requests that may run next."""
     if ticket not in here.admission.running:
         # The target was replaced since, which reset admission.
         return
@@ -301,6 +306,7 @@
 
 
 def _conclude(attempt_result: attempts.AttemptResult) -> exchange.Completion:
+    """Return the completion of a request at the local target."""
     if not attempt_result.is_ended:
         return _conclude_cancelled(attempt_result)
     if attempt_result.attempt.step is not dispatch.Step.WITHHELD:
@@ -381,6 +387,7 @@
 
 
 def _classify(attempt_result: attempts.AttemptResult) -> limit.Reply:
+    """Return what an attempt tells the concurrency limit."""
     attempt = attempt_result.attempt
     if _is_refused_by_target(attempt):
         reported = wire.find_header(attempt.headers, front.REASON_HEADER)
@@ -447,6 +454,7 @@
 
 
 def _mark_target_down(here: site.Site) -> None:
+    """Pause admission until the target is up again."""
     decision.record(
         log, logging.WARNING, "target-down", target=here.target.address, reason=here.target.reason
     )
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -56,6 +56,7 @@
 RETRY_JITTER = 0.6
 # Tells callers that a request has not run and will not run later.
 NOT_RUN_STATUS = 503
+# The outcome of a request whose caller had left before it was read.
 ABANDONED = outcome.unknown(outcome.Reason.CALLER_GONE)
 
 
@@ -252,6 +253,7 @@
 
 
 def _has_time(origin: Origin, call: exchange.Call, name: identity.NodeId) -> bool:
+    """Return whether a target can be expected to answer before the request's deadline."""
     view = node_module.read_view(origin.node, name)
     return origin.node.now() + view.work_s < call.deadline_at_s
 
@@ -264,6 +266,10 @@
     *,
     owner: identity.NodeId | None,
 ) -> identity.NodeId | None:
+    """Return the node to try next, or ``None`` if none is left.
+
+    ``excluded`` are the nodes that were tried; ``owner`` is a key's owner as named by another node.
+    """
     node = origin.node
     if rules.key_slot is not None:
         return _find_owner(node, call.service, rules.key_slot, owner=owner)
@@ -300,6 +306,7 @@
 async def _try_one(
     origin: Origin, call: exchange.Call, caller: exchange.Caller, name: identity.NodeId
 ) -> delivery.Completion:
+    """Try a request at one node, this one or another, and update what is known of its target."""
     node = origin.node
     view = node_module.read_view(node, name)
     if call.rules is not None and call.rules.key_slot is not None:
@@ -336,6 +343,7 @@
     name: identity.NodeId,
     view: selection.TargetView,
 ) -> delivery.Completion:
+    """Forward a request to another node, and pass that node's reply to the caller."""
     node = origin.node
     peer = node.members.get(name)
     if peer is None:
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -24,8 +24,8 @@
 OTHER_NODE_STATUS = 421
 # Most replies come within this time; a node that owes one for longer is pinged.
 SUSPECT_AFTER_S = 0.4
-# A node that is short of processor time answers a ping within this time; one that does not is of no
-# use to its callers.
+# A node that is short of processor time still answers a ping within this time; one that does not is
+# as good as lost to its callers.
 PING_TIMEOUT_S = 0.35
 # Limit for the reply to a ping, which is a status without a body.
 PING_BYTES = 1024
@@ -85,6 +85,7 @@
 
 
 async def _ping(monitor: Monitor, name: identity.NodeId, address: identity.Address) -> None:
+    """Ping a node and record the result."""
     sent_at = monitor.node.now()
     request = http.Request(method="GET", path=PING_PATH + urllib.parse.quote(name, safe=""))
     status = await _fetch_status(monitor, address, request)
@@ -103,7 +104,7 @@
     Connecting and replying have the same time limit each: both wait for what the other node's link
     is sending, and a frozen node accepts connections at once.
     """
-    # A lagging event loop reads replies late that have arrived in time.
+    # When the event loop lags, replies that arrived in time are read late.
     timeout_s = PING_TIMEOUT_S + min(ABORT_ALL_AFTER_S, lag.expect_delay(monitor.node.loop_lag))
     stream: trio.abc.Stream | None = None
     with trio.move_on_after(timeout_s):
@@ -161,7 +162,7 @@
     unreachable_s = record_unreachable(monitor, name, "no answer to a ping")
     now = monitor.node.now()
     patient_since = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
-    # While this node stops, it aborts no request early: little time is left to retry elsewhere.
+    # A stopping node aborts no request early: little time remains to retry it elsewhere.
     since = patient_since if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
     pool.abort(monitor.peers, address, cutoff=since, lenient_cutoff=patient_since)
 
--- a/src/ebonyvalve/request/routing.py
+++ b/src/ebonyvalve/request/routing.py
@@ -205,6 +205,7 @@
 def _choose_fastest(
     view: View, members: list[message.Member], loads: dict[identity.NodeId, TargetLoad]
 ) -> message.Member:
+    """Draw candidates, and return the one with the lowest expected latency."""
     latencies = [load.latency_s for load in loads.values() if load.latency_s is not None]
     fallback_s = min(latencies, default=0.001)
 
@@ -221,6 +222,7 @@
 
 
 def _draw_candidates(view: View, members: list[message.Member]) -> list[message.Member]:
+    """Return up to ``CANDIDATES`` members, drawn at random."""
     remaining = list(members)
     return [
         remaining.pop(view.draw(len(remaining))) for _ in range(min(CANDIDATES, len(remaining)))
