--- a/src/ebonyvalve/request/crash.py
+++ b/src/ebonyvalve/request/crash.py
@@ -140,8 +140,10 @@
     crashes.record_crash(detector.quarantine, suspects, now)
     decision.record(log, logging.WARNING, "target-crashed", suspects=len(suspects))
     # A node that misses the report only counts one crash less.
-    colleagues = push.list_service_peers(node)
-    await push.send(node, detector.connect, colleagues, CRASH_PATH, msgspec.json.encode(suspects))
+    service_peers = push.list_service_peers(node)
+    await push.send(
+        node, detector.connect, service_peers, CRASH_PATH, msgspec.json.encode(suspects)
+    )
 
 
 def receive_push(detector: Detector, body: bytes) -> bool:
--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -334,7 +334,7 @@
     others = hedge.list_others(here, progress.service, progress.tried)
     if not others:
         progress.tried.clear()
-    verdict = retry.decide(
+    retry_decision = retry.decide(
         completion.result,
         is_idempotent=call.method in progress.service.idempotent_methods,
         is_body_held=call.is_body_buffered or not completion.is_body_open,
@@ -344,7 +344,7 @@
         remaining_s=call.deadline_at_s - here.now(),
         bucket=here.retries,
     )
-    if verdict is not retry.Retry.RETRY:
+    if retry_decision is not retry.Retry.RETRY:
         return False
     await trio.sleep(
         retry.delay(progress.attempts, here.random.random(), has_other_target=bool(others))
@@ -369,8 +369,8 @@
     progress: Progress, reason: outcome.Reason, *, owner: identity.NodeId | None = None
 ) -> outcome.Outcome:
     """Refuse a request for which there is no further attempt."""
-    is_doubtful = progress.may_have_run or reason is outcome.Reason.TOKEN_EPOCH_LOST
-    refusal = outcome.unknown(reason) if is_doubtful else outcome.refuse(reason)
+    may_have_run = progress.may_have_run or reason is outcome.Reason.TOKEN_EPOCH_LOST
+    refusal = outcome.unknown(reason) if may_have_run else outcome.refuse(reason)
     return await _send_completion(progress.caller, exchange.Completion(result=refusal, owner=owner))
 
 
--- a/src/ebonyvalve/request/hedge.py
+++ b/src/ebonyvalve/request/hedge.py
@@ -41,12 +41,12 @@
     :param here: the node's state.
     :param member: the node of the target.
     """
-    book = here.books[member.service]
-    latency = book.targets.get(member.node)
+    service_latencies = here.books[member.service]
+    latency = service_latencies.targets.get(member.node)
     return routing.TargetLoad(
         in_flight=here.in_flight[member.node],
         latency_s=None if latency is None else latency.mean_s,
-        is_bypassed=straggler.is_bypassed(book, member.node),
+        is_bypassed=straggler.is_bypassed(service_latencies, member.node),
     )
 
 
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -38,7 +38,7 @@
 
 # Idle limit for connections that carry requests that must not run twice. A target may close a
 # connection that was idle for long, and a loss after the first byte leaves the outcome unknown.
-MAX_IDLE_ONCE_S = 1.0
+MAX_IDLE_UNREPEATABLE_S = 1.0
 
 TARGET_REASONS = {
     b"stale-fence": outcome.Reason.STALE_FENCE,
@@ -79,32 +79,38 @@
     if not target.is_up(here.target) or here.target.address is None:
         return exchange.Completion(result=outcome.refuse(outcome.Reason.NO_TARGET))
     tokens = site.find_memory(here, job.shard, job.fence, life_s=job.service.token_life_s)
-    is_once = call.method not in job.service.idempotent_methods
-    if is_once:
+    is_unrepeatable = call.method not in job.service.idempotent_methods
+    if is_unrepeatable:
         token_refusal = await _check_token(here, job, tokens)
         if token_refusal is not None:
             return token_refusal
     fingerprint = _compute_fingerprint(job)
     if quarantine.is_quarantined(here.quarantined, fingerprint, here.now()):
         return exchange.Completion(result=outcome.refuse(outcome.Reason.QUARANTINED))
-    answer = await _admit(here, call)
-    if answer.ticket is None:
-        return _refuse_admission(answer)
+    admitted = await _admit(here, call)
+    if admitted.ticket is None:
+        return _refuse_admission(admitted)
     # Nothing is awaited between this check and the start of the flight, so a release of the shard
     # either sees the flight or has revoked the grant before.
     if not job.is_granted() or not target.is_up(here.target):
-        _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
+        _end_admission(here, admitted.ticket, 0.0, limit.Reply.ABANDONED)
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
-    if is_once:
+    if is_unrepeatable:
         found = token.begin(tokens, call.token or "", key=_find_key(job), now=here.now())
         if found.standing is not token.Standing.FRESH:
-            _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
+            _end_admission(here, admitted.ticket, 0.0, limit.Reply.ABANDONED)
             if found.standing is token.Standing.IN_PROGRESS:
                 # A resend was admitted first while this request waited for admission.
                 return await run(here, job, filter_reply)
             return _refuse_token(here, job, tokens, found)
     return await _make_attempt(
-        here, job, tokens, fingerprint, answer.ticket, filter_reply, is_once=is_once
+        here,
+        job,
+        tokens,
+        fingerprint,
+        admitted.ticket,
+        filter_reply,
+        is_unrepeatable=is_unrepeatable,
     )
 
 
@@ -116,7 +122,7 @@
     ticket: limit.Ticket,
     filter_reply: dispatch.FilterReply,
     *,
-    is_once: bool,
+    is_unrepeatable: bool,
 ) -> exchange.Completion:
     """Make the attempt, and record its result however it ends."""
     started_s = here.now()
@@ -124,7 +130,7 @@
     attempt_result = attempts.AttemptResult()
     completion = exchange.Completion(result=outcome.unknown(outcome.Reason.CALLER_GONE))
     address = here.target.address or identity.Address("")
-    context = _build_context(here, job, tokens, filter_reply, is_once=is_once)
+    context = _build_context(here, job, tokens, filter_reply, is_unrepeatable=is_unrepeatable)
     try:
         with flight.scope:
             await attempts.run(context, job.call, job.caller, here.now, attempt_result)
@@ -132,7 +138,7 @@
     finally:
         _record_unconfirmed(here, job, attempt_result)
         site.end_flight(here, flight)
-        if is_once:
+        if is_unrepeatable:
             token.finish(
                 tokens,
                 job.call.token or "",
@@ -152,7 +158,7 @@
     tokens: token_memory.Memory,
     filter_reply: dispatch.FilterReply,
     *,
-    is_once: bool,
+    is_unrepeatable: bool,
 ) -> attempts.AttemptContext:
     """Return an attempt's context; its filter adds the outcome and the next token to the reply."""
 
@@ -179,7 +185,7 @@
         extra_headers=[*list_extra(job.call, here.now()), fence, grant_until],
         filter_reply=filter_target_reply,
         p99_s=straggler.read_quantile(here.books[job.service.name], 0.99),
-        max_idle_s=MAX_IDLE_ONCE_S if is_once else None,
+        max_idle_s=MAX_IDLE_UNREPEATABLE_S if is_unrepeatable else None,
         correlate=functools.partial(_correlate, job.call.request_id.encode()),
     )
 
@@ -261,21 +267,21 @@
 
 async def _admit(here: site.Site, call: exchange.Call) -> limit.Decision:
     """Wait for admission within the deadline."""
-    answer = limit.admit(here.admission, now=here.now(), deadline=call.deadline_at_s)
-    if answer.admission is not limit.Admission.WAIT or answer.ticket is None:
-        return answer
-    event = here.admitted[answer.ticket] = trio.Event()
+    admitted = limit.admit(here.admission, now=here.now(), deadline=call.deadline_at_s)
+    if admitted.admission is not limit.Admission.WAIT or admitted.ticket is None:
+        return admitted
+    event = here.admitted[admitted.ticket] = trio.Event()
     is_woken = False
     try:
         with trio.move_on_after(max(call.deadline_at_s - here.now(), 0)):
             await event.wait()
-            is_woken = answer.ticket in here.admission.running
+            is_woken = admitted.ticket in here.admission.running
     finally:
-        here.admitted.pop(answer.ticket, None)
+        here.admitted.pop(admitted.ticket, None)
         if not is_woken:
-            _cancel_admission(here, answer.ticket)
+            _cancel_admission(here, admitted.ticket)
     if is_woken:
-        return limit.Decision(admission=limit.Admission.RUN, ticket=answer.ticket)
+        return limit.Decision(admission=limit.Admission.RUN, ticket=admitted.ticket)
     return limit.Decision(admission=limit.Admission.REFUSE, cause=limit.Cause.DEADLINE)
 
 
@@ -298,9 +304,9 @@
     site.wake_admitted(here, woken)
 
 
-def _refuse_admission(answer: limit.Decision) -> exchange.Completion:
-    reason = ADMISSION_REASONS.get(answer.cause, outcome.Reason.QUEUE_FULL)
-    seconds = max(1, round(answer.retry_after_s))
+def _refuse_admission(refused: limit.Decision) -> exchange.Completion:
+    reason = ADMISSION_REASONS.get(refused.cause, outcome.Reason.QUEUE_FULL)
+    seconds = max(1, round(refused.retry_after_s))
     headers = [(b"retry-after", str(seconds).encode())]
     return exchange.Completion(result=outcome.refuse(reason), headers=headers)
 
@@ -374,8 +380,10 @@
     if attempt.head_at_s is not None:
         target.record_reply(here.target, now_s)
     if reply in (limit.Reply.OK, limit.Reply.TIMED_OUT):
-        book = here.books[job.service.name]
-        straggler.record(book, here.node, latency_s, is_complete=reply is limit.Reply.OK)
+        service_latencies = here.books[job.service.name]
+        straggler.record(
+            service_latencies, here.node, latency_s, is_complete=reply is limit.Reply.OK
+        )
         if job.service.is_keyed:
             accounting.record(here.account, job.shard, job.call.key, latency_s, now_s)
     if reply is limit.Reply.TIMED_OUT and target.record_miss(here.target, now_s):
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -206,7 +206,7 @@
     rules = call.rules
     assert rules is not None
     node = origin.node
-    bucket = budget.find_budget(node.budget, call.service)
+    retry_budget = budget.find_budget(node.budget, call.service)
     unknown_count = 0
     excluded: set[identity.NodeId] = set()
     completion = delivery.Completion(
@@ -233,9 +233,9 @@
             may_repeat = rules.is_repeatable and unknown_count < rules.max_attempts
             if not may_repeat or not _has_time(origin, call, name):
                 break
-            if not budget.spend(bucket):
+            if not budget.spend(retry_budget):
                 break
-        if completion.result.reason in TARGET_REFUSALS and not budget.spend(bucket):
+        if completion.result.reason in TARGET_REFUSALS and not budget.spend(retry_budget):
             break
         excluded.add(name)
         if rules.key_slot is not None:
@@ -430,10 +430,13 @@
     """Refuse a request of another node, with the reason and this node's load in the headers."""
     node = origin.node
     refusal = f"{completion.result.verdict.value}:{completion.result.reason.value}"
-    extra = [(hop_headers.REFUSED_HEADER, refusal.encode()), *hop_headers.build_load_headers(node)]
+    extra_headers = [
+        (hop_headers.REFUSED_HEADER, refusal.encode()),
+        *hop_headers.build_load_headers(node),
+    ]
     if completion.owner is not None:
-        extra.append((hop_headers.OWNER_HEADER, completion.owner.encode()))
-    await send_refusal(caller, completion.result, completion.retry_after_s, extra)
+        extra_headers.append((hop_headers.OWNER_HEADER, completion.owner.encode()))
+    await send_refusal(caller, completion.result, completion.retry_after_s, extra_headers)
     _record(origin, call, completion.result, started_at, [node.place.node])
     return completion.result
 
@@ -484,9 +487,9 @@
     """
     node = origin.node
     is_answered = result.verdict is outcome.Verdict.ANSWERED
-    took_s = node.now() - started_at
+    elapsed_s = node.now() - started_at
     counters.count(
-        node.request_counters, call.service, result.verdict.value, result.reason.value, took_s
+        node.request_counters, call.service, result.verdict.value, result.reason.value, elapsed_s
     )
     if is_answered and not log.isEnabledFor(logging.DEBUG):
         return
@@ -503,7 +506,7 @@
         status=result.status,
         told=is_reply_begun,
         tried=",".join(tried),
-        took_ms=int(took_s * 1000),
+        took_ms=int(elapsed_s * 1000),
         ledger=versioned_ledger.version if versioned_ledger is not None else None,
         config=node.config,
     )
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -161,10 +161,10 @@
         return
     unreachable_s = record_unreachable(monitor, name, "no answer to a ping")
     now = monitor.node.now()
-    patient_since = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
+    lenient_cutoff = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
     # A stopping node aborts no request early: little time remains to retry it elsewhere.
-    since = patient_since if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
-    pool.abort(monitor.peers, address, cutoff=since, lenient_cutoff=patient_since)
+    cutoff = lenient_cutoff if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
+    pool.abort(monitor.peers, address, cutoff=cutoff, lenient_cutoff=lenient_cutoff)
 
 
 def record_unreachable(monitor: Monitor, name: identity.NodeId, reason: str) -> float:
