--- a/src/ebonyvalve/request/front.py
+++ b/src/ebonyvalve/request/front.py
@@ -340,7 +340,7 @@
 
 
 async def _reply_error(conn: wire.Wire, refusal: outcome.Outcome, text: str) -> None:
-    """Refuse a request that cannot be handled, and read for a moment what the caller still sends."""
+    """Refuse an invalid request, and read for a moment what the caller still sends."""
     body = f"{text}\n".encode()
     headers = [
         (b"content-type", b"text/plain; charset=utf-8"),
