--- a/tests/request/test_endless.py
+++ b/tests/request/test_endless.py
@@ -22,14 +22,14 @@
 SLACK_BYTES = 2 * wire.READ_BYTES
 SLACK_S = 0.1
 
-OWN = b"X-Attempt-Id: r1\r\n"
-OTHER = b"X-Attempt-Id: r0\r\n"
+OWN_ID = b"X-Attempt-Id: r1\r\n"
+OTHER_ID = b"X-Attempt-Id: r0\r\n"
 SEALED = b"X-Response-Seal: s\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
 OK = b"HTTP/1.1 200 OK\r\n"
-REFUSAL = b"HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\n" + OWN + CHUNKED
-HINT = b"HTTP/1.1 103 Early Hints\r\n\r\n"
-FOREIGN = OK + OTHER + SEALED + b"Content-Length: 2\r\n\r\nok"
+REFUSAL = b"HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\n" + OWN_ID + CHUNKED
+EARLY_HINTS = b"HTTP/1.1 103 Early Hints\r\n\r\n"
+FOREIGN_REPLY = OK + OTHER_ID + SEALED + b"Content-Length: 2\r\n\r\nok"
 TINY_CHUNK = b"1\r\na\r\n"
 CHUNK = b"8000\r\n" + b"a" * 0x8000 + b"\r\n"
 
@@ -96,24 +96,24 @@
         (b"", b"a", HEAD_BYTES, LOST),
         (OK, b"X-A: a\r\n", HEAD_BYTES, LOST),
         (OK + b"X-A: ", b"a", HEAD_BYTES, LOST),
-        (OK + OWN + SEALED + b"X-A: %s\r\n\r\n" % (b"a" * HEAD_BYTES), b"a", HEAD_BYTES, LOST),
-        (b"", HINT, STRAY_BYTES, LOST),
-        (b"", FOREIGN, STRAY_BYTES, LOST),
-        (OK + OTHER + CHUNKED, CHUNK, STRAY_BYTES, LOST),
-        (OK + OTHER + CHUNKED, TINY_CHUNK, STRAY_BYTES, LOST),
+        (OK + OWN_ID + SEALED + b"X-A: %s\r\n\r\n" % (b"a" * HEAD_BYTES), b"a", HEAD_BYTES, LOST),
+        (b"", EARLY_HINTS, STRAY_BYTES, LOST),
+        (b"", FOREIGN_REPLY, STRAY_BYTES, LOST),
+        (OK + OTHER_ID + CHUNKED, CHUNK, STRAY_BYTES, LOST),
+        (OK + OTHER_ID + CHUNKED, TINY_CHUNK, STRAY_BYTES, LOST),
         # A refusal that names the request is trusted, whatever follows its head.
         (REFUSAL, CHUNK, STRAY_BYTES, NOT_RUN),
         (REFUSAL, TINY_CHUNK, STRAY_BYTES, NOT_RUN),
         # A success without a seal does not come from the target.
-        (OK + OWN + CHUNKED, CHUNK, STRAY_BYTES, LOST),
-        (OK + OWN + b"\r\n", b"a", STRAY_BYTES, LOST),
+        (OK + OWN_ID + CHUNKED, CHUNK, STRAY_BYTES, LOST),
+        (OK + OWN_ID + b"\r\n", b"a", STRAY_BYTES, LOST),
         # A sealed reply that announces no length.
-        (OK + OWN + SEALED + CHUNKED, CHUNK, STREAM_BYTES, LOST),
-        (OK + OWN + SEALED + b"Content-Length: 9\r\n" + CHUNKED, CHUNK, STREAM_BYTES, LOST),
-        (OK + OWN + SEALED + b"\r\n", b"a", STREAM_BYTES, LOST),
-        (OK + OWN + SEALED + CHUNKED + b"1;", b"a", HEAD_BYTES, LOST),
-        (OK + OWN + SEALED + CHUNKED, b"1;" + b"a" * 16_000 + b"\r\na\r\n", STREAM_BYTES, LOST),
-        (OK + OWN + SEALED + CHUNKED + b"0\r\n", b"X-A: a\r\n", HEAD_BYTES, LOST),
+        (OK + OWN_ID + SEALED + CHUNKED, CHUNK, STREAM_BYTES, LOST),
+        (OK + OWN_ID + SEALED + b"Content-Length: 9\r\n" + CHUNKED, CHUNK, STREAM_BYTES, LOST),
+        (OK + OWN_ID + SEALED + b"\r\n", b"a", STREAM_BYTES, LOST),
+        (OK + OWN_ID + SEALED + CHUNKED + b"1;", b"a", HEAD_BYTES, LOST),
+        (OK + OWN_ID + SEALED + CHUNKED, b"1;" + b"a" * 16_000 + b"\r\na\r\n", STREAM_BYTES, LOST),
+        (OK + OWN_ID + SEALED + CHUNKED + b"0\r\n", b"X-A: a\r\n", HEAD_BYTES, LOST),
     ],
 )
 async def test_endless_answer_is_read_to_a_limit(
@@ -139,10 +139,10 @@
     ("method", "first"),
     [
         # A reply to HEAD announces the length of a body that is not sent.
-        ("HEAD", OK + OWN + SEALED + b"Content-Length: 9\r\n\r\n"),
-        ("POST", b"HTTP/1.1 204 No\r\n" + OWN + SEALED + b"\r\n"),
-        ("POST", b"HTTP/1.1 304 No\r\n" + OWN + SEALED + b"\r\n"),
-        ("POST", OK + OWN + SEALED + b"Content-Length: 0\r\n\r\n"),
+        ("HEAD", OK + OWN_ID + SEALED + b"Content-Length: 9\r\n\r\n"),
+        ("POST", b"HTTP/1.1 204 No\r\n" + OWN_ID + SEALED + b"\r\n"),
+        ("POST", b"HTTP/1.1 304 No\r\n" + OWN_ID + SEALED + b"\r\n"),
+        ("POST", OK + OWN_ID + SEALED + b"Content-Length: 0\r\n\r\n"),
     ],
 )
 async def test_endless_data_after_a_complete_reply_is_not_read(
@@ -161,11 +161,11 @@
     [
         (REFUSAL, TINY_CHUNK, SKIP_S, NOT_RUN),
         (REFUSAL + b"1;", b"a", SKIP_S, NOT_RUN),
-        (OK + OWN + CHUNKED, TINY_CHUNK, SKIP_S, LOST),
-        (OK + OTHER + CHUNKED, TINY_CHUNK, SKIP_S, LOST),
-        (b"", HINT, DEADLINE_S, LOST),
+        (OK + OWN_ID + CHUNKED, TINY_CHUNK, SKIP_S, LOST),
+        (OK + OTHER_ID + CHUNKED, TINY_CHUNK, SKIP_S, LOST),
+        (b"", EARLY_HINTS, DEADLINE_S, LOST),
         (OK, b"X-A: a\r\n", DEADLINE_S, LOST),
-        (OK + OWN + SEALED + CHUNKED, TINY_CHUNK, DEADLINE_S, LOST),
+        (OK + OWN_ID + SEALED + CHUNKED, TINY_CHUNK, DEADLINE_S, LOST),
     ],
 )
 async def test_trickling_answer_is_read_for_a_limited_time(
@@ -191,7 +191,7 @@
 ) -> None:
     """Guards against applying the limits to a reply whose length is announced."""
     length = STREAM_BYTES + wire.READ_BYTES
-    first = OK + OWN + SEALED + b"Content-Length: %d\r\n\r\n" % length
+    first = OK + OWN_ID + SEALED + b"Content-Length: %d\r\n\r\n" % length
     target = Target(first=first, unit=fill(b"a"), pause_s=FLOOD_PAUSE_S, nursery=nursery)
     completion, _, _ = await run(target)
     assert completion.result.verdict is ANSWERED
--- a/tests/request/test_handler.py
+++ b/tests/request/test_handler.py
@@ -48,7 +48,7 @@
 def build_world(nursery: trio.Nursery, owner: identity.NodeId = HERE) -> World:
     world = World(nursery=nursery)
     for node in (HERE, THERE):
-        world.nodes[node] = own_shard(lease.Node(node=node, incarnation=INCARNATION), owner, 1)
+        world.nodes[node] = assign_shards(lease.Node(node=node, incarnation=INCARNATION), owner, 1)
         shared = build_handler(world, node)
         world.sites[node] = shared.here
         for is_hop in (False, True):
@@ -61,10 +61,10 @@
     return world
 
 
-def own_shard(node: lease.Node, owner: identity.NodeId, fence: int) -> lease.Node:
+def assign_shards(node: lease.Node, owner: identity.NodeId, fence: int) -> lease.Node:
     """Assign every partition to one node, with a lease that does not expire."""
     shards = [identity.name_partition(SERVICE, identity.Partition(n)) for n in range(256)]
-    held = lease.HeldShard(fence=identity.Fence(fence))
+    holding = lease.HeldShard(fence=identity.Fence(fence))
     routes = {
         shard: message.Route(shard=shard, owner=owner, fence=identity.Fence(fence))
         for shard in shards
@@ -72,7 +72,7 @@
     return dataclasses.replace(
         node,
         lease_end_s=math.inf,
-        holdings=dict.fromkeys(shards, held) if owner == node.node else {},
+        holdings=dict.fromkeys(shards, holding) if owner == node.node else {},
         routes=routes,
         members={name: describe(name) for name in (HERE, THERE)},
     )
@@ -344,7 +344,7 @@
     async with trio.open_nursery() as nursery:
         world = build_world(nursery, THERE)
         away = identity.NodeId("vm-3")
-        world.nodes[THERE] = own_shard(world.nodes[THERE], away, 2)
+        world.nodes[THERE] = assign_shards(world.nodes[THERE], away, 2)
         start = trio.current_time()
         _, headers, _ = await call(world, "GET", "/calendrier/salle-1/slots")
         nursery.cancel_scope.cancel()
--- a/tests/request/test_quarantine.py
+++ b/tests/request/test_quarantine.py
@@ -4,8 +4,7 @@
 from hypothesis import strategies
 import pytest
 
-from ebonyvalve.process import identity, message
-from ebonyvalve.process import quarantine as ward
+from ebonyvalve.process import identity, message, quarantine
 from ebonyvalve.request import fingerprints
 
 TEXT = strategies.text("ab/", max_size=3)
@@ -43,57 +42,61 @@
 
 def test_every_request_in_flight_is_quarantined_for_a_minute() -> None:
     """Guards against a quarantine that omits the crashing request of several in flight."""
-    state = ward.Quarantine()
+    state = quarantine.Quarantine()
     names = [identity.Fingerprint(str(index)) for index in range(10)]
-    ward.record_crash(state, names, 100.0)
-    assert all(ward.is_quarantined(state, name, 159.9) for name in names)
-    assert not any(ward.is_quarantined(state, name, 160.0) for name in names)
-    ward.forget(state, 190.0)
+    quarantine.record_crash(state, names, 100.0)
+    assert all(quarantine.is_quarantined(state, name, 159.9) for name in names)
+    assert not any(quarantine.is_quarantined(state, name, 160.0) for name in names)
+    quarantine.forget(state, 190.0)
     assert not state.until
 
 
 def test_entries_end_although_nodes_exchange_them() -> None:
     """Guards against an entry that two nodes keep alive by reporting it to each other."""
-    states = [ward.Quarantine(), ward.Quarantine()]
-    ward.record_crash(states[0], [ONE], 0.0)
+    states = [quarantine.Quarantine(), quarantine.Quarantine()]
+    quarantine.record_crash(states[0], [ONE], 0.0)
     now = 0.0
     while now < 120.0:
         for sender, receiver in (states, states[::-1]):
-            entries = ward.export_all(sender, now)
+            entries = quarantine.export_all(sender, now)
             now += 0.05
-            ward.import_entries(receiver, entries, now)
-            ward.forget(receiver, now)
-        assert now < 61.0 or not any(ward.is_quarantined(state, ONE, now) for state in states)
-    ward.record_crash(states[0], [ONE], now)
-    ward.import_entries(states[1], ward.export_unreported(states[0], now), now)
-    assert ward.is_quarantined(states[1], ONE, now + 59.0)
+            quarantine.import_entries(receiver, entries, now)
+            quarantine.forget(receiver, now)
+        assert now < 61.0 or not any(quarantine.is_quarantined(state, ONE, now) for state in states)
+    quarantine.record_crash(states[0], [ONE], now)
+    quarantine.import_entries(states[1], quarantine.export_unreported(states[0], now), now)
+    assert quarantine.is_quarantined(states[1], ONE, now + 59.0)
 
 
 def test_lost_heartbeat_reports_again() -> None:
     """Guards against an entry that other nodes never get, and against one that lasts too long."""
-    state = ward.Quarantine()
-    ward.record_crash(state, [ONE], 0.0)
-    assert ward.export_unreported(state, 1.0) == ward.export_unreported(state, 1.0) != []
-    ward.confirm(state, ward.export_unreported(state, 1.0))
-    assert ward.export_unreported(state, 1.0) == []
-    other = ward.Quarantine()
-    ward.import_entries(other, [message.Quarantined(fingerprint=ONE, remaining_s=1e9)], 0.0)
-    assert ward.export_unreported(other, 1.0) == []
-    assert not ward.is_quarantined(other, ONE, ward.QUARANTINE_S)
+    state = quarantine.Quarantine()
+    quarantine.record_crash(state, [ONE], 0.0)
+    assert (
+        quarantine.export_unreported(state, 1.0) == quarantine.export_unreported(state, 1.0) != []
+    )
+    quarantine.confirm(state, quarantine.export_unreported(state, 1.0))
+    assert quarantine.export_unreported(state, 1.0) == []
+    other = quarantine.Quarantine()
+    quarantine.import_entries(other, [message.Quarantined(fingerprint=ONE, remaining_s=1e9)], 0.0)
+    assert quarantine.export_unreported(other, 1.0) == []
+    assert not quarantine.is_quarantined(other, ONE, quarantine.QUARANTINE_S)
 
 
 def test_quarantine_is_bounded() -> None:
     """Guards against a flood of crashes that fills the memory; the oldest entries go first."""
-    state = ward.Quarantine()
-    names = [identity.Fingerprint(str(index)) for index in range(ward.CAPACITY + 3)]
+    state = quarantine.Quarantine()
+    names = [identity.Fingerprint(str(index)) for index in range(quarantine.CAPACITY + 3)]
     for index, name in enumerate(names):
-        ward.record_crash(state, [name], index / 1000)
-    assert len(state.until) == ward.CAPACITY >= len(state.unreported)
-    assert not ward.is_quarantined(state, names[2], 9.0)
-    assert ward.is_quarantined(state, names[3], 9.0)
+        quarantine.record_crash(state, [name], index / 1000)
+    assert len(state.until) == quarantine.CAPACITY >= len(state.unreported)
+    assert not quarantine.is_quarantined(state, names[2], 9.0)
+    assert quarantine.is_quarantined(state, names[3], 9.0)
 
 
-def import_longest(state: ward.Quarantine, entries: list[message.Quarantined], now: float) -> None:
+def import_longest(
+    state: quarantine.Quarantine, entries: list[message.Quarantined], now: float
+) -> None:
     for entry in entries:
         until = now + entry.remaining_s
         state.until[entry.fingerprint] = max(until, state.until.get(entry.fingerprint, 0.0))
@@ -112,6 +115,6 @@
     monkeypatch: pytest.MonkeyPatch, name: str, value: object, check: object
 ) -> None:
     """Guards against checks that pass whatever the code does."""
-    monkeypatch.setattr(ward, name, value)
+    monkeypatch.setattr(quarantine, name, value)
     with pytest.raises(AssertionError):
         check()  # type: ignore[operator]
--- a/tests/request/test_refusals.py
+++ b/tests/request/test_refusals.py
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """A target that refuses the ids in ``full`` once, and repeats refusals according to ``when``.
+    """A target that refuses each of ``refused_ids`` once, and repeats refusals as ``when`` says.
 
     ``ran`` lists the ids of the requests that it started to run.
     """
@@ -29,10 +29,10 @@
     status: int = 503
     is_named: bool = True
     when: str = "before-answer"
-    full: set[str] = dataclasses.field(default_factory=set)
+    refused_ids: set[str] = dataclasses.field(default_factory=set)
     answer_headers: str = ""
     # Sent before every reply but the first on a connection.
-    strange: bytes = b""
+    extra_reply: bytes = b""
     ran: list[str] = dataclasses.field(default_factory=list)
     opened: int = 0
     nursery: trio.Nursery
@@ -58,8 +58,8 @@
             if not isinstance(head, h11.Request):
                 return
             name = dict(head.headers)[dialect.REQUEST_ID].decode()
-            if name in self.full:
-                self.full.discard(name)
+            if name in self.refused_ids:
+                self.refused_ids.discard(name)
                 repeated = build_refusal(self.status, name if self.is_named else None)
                 is_twice = self.when == "with-refusal"
                 await stream.send_all(repeated * (2 if is_twice else 1))
@@ -71,7 +71,7 @@
             if self.when == "before-answer" and repeated:
                 await stream.send_all(repeated)
             if is_reused:
-                await stream.send_all(self.strange)
+                await stream.send_all(self.extra_reply)
             is_reused = True
             await trio.sleep(WORK_S)
             await stream.send_all(build_answer(name, self.answer_headers))
@@ -170,7 +170,9 @@
     The target sends its refusal of an order again on the reused connection, where the reply to
     another order, or to a retry of the same one, is expected.
     """
-    target = Target(nursery=nursery, status=status, is_named=is_named, when=when, full={"r1"})
+    target = Target(
+        nursery=nursery, status=status, is_named=is_named, when=when, refused_ids={"r1"}
+    )
     entry = build_entry(target)
     first = await ask(entry, "r1")
     assert first.verdict is outcome.Verdict.NOT_RUN
@@ -193,10 +195,10 @@
 
     Targets name the request in their replies; one without a name may belong to any earlier request.
     """
-    strange = build_refusal(status, None)
+    unnamed_reply = build_refusal(status, None)
     if status in (404, 500):
-        strange = strange.replace(b"X-Not-Executed: 1\r\n", b"")
-    target = Target(nursery=nursery, strange=strange)
+        unnamed_reply = unnamed_reply.replace(b"X-Not-Executed: 1\r\n", b"")
+    target = Target(nursery=nursery, extra_reply=unnamed_reply)
     entry = build_entry(target)
     caplog.set_level(logging.INFO)
     assert (await ask(entry, "r1")).verdict is outcome.Verdict.ANSWERED
@@ -214,7 +216,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against an order that runs at a second target while the first runs it (TWICE)."""
-    target = Target(nursery=nursery, is_named=False, full={"r1"})
+    target = Target(nursery=nursery, is_named=False, refused_ids={"r1"})
     other = Target(nursery=nursery)
     entry = build_entry(target)
     node = entry.node
--- a/tests/request/test_retry.py
+++ b/tests/request/test_retry.py
@@ -134,10 +134,10 @@
 
 
 def decide_as_idempotent(last: outcome.Outcome, **details: object) -> retry.Retry:
-    return WHOLE_DECIDE(last, **(details | {"is_idempotent": True}))  # type: ignore[arg-type]
+    return ORIGINAL_DECIDE(last, **(details | {"is_idempotent": True}))  # type: ignore[arg-type]
 
 
-WHOLE_DECIDE = retry.decide
+ORIGINAL_DECIDE = retry.decide
 
 
 @pytest.mark.parametrize(
--- a/tests/request/test_token.py
+++ b/tests/request/test_token.py
@@ -15,7 +15,7 @@
 SERVICE = identity.ServiceId("inventario")
 KEYS = [identity.KeyId("a"), identity.KeyId("b")]
 PARTITION = identity.name_partition(SERVICE, identity.Partition(7))
-OWN = identity.name_key(SERVICE, KEYS[0])
+KEY_SHARD = identity.name_key(SERVICE, KEYS[0])
 LIFE_S = 10.0
 # The nodes' clocks have different zero points.
 CLOCKS = [0.0, 5000.0, -400.0]
@@ -34,6 +34,8 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Issued:
+    """An issued token, the time of its issue, and how often its request ran."""
+
     text: str
     key: identity.KeyId
     at: float
@@ -66,16 +68,16 @@
             quota=self.quotas[node],
         )
 
-    def read(self, node: int) -> float:
+    def read_clock(self, node: int) -> float:
         return self.now + CLOCKS[node]
 
     def find_shard(self, key: identity.KeyId) -> identity.ShardId:
-        return OWN if key == KEYS[0] and OWN in self.states else PARTITION
+        return KEY_SHARD if key == KEYS[0] and KEY_SHARD in self.states else PARTITION
 
     @stateful.rule(key=strategies.sampled_from(KEYS))
     def issue(self, key: identity.KeyId) -> None:
         shard = self.find_shard(key)
-        now = self.read(self.place[shard])
+        now = self.read_clock(self.place[shard])
         nonce = len(self.issued).to_bytes(token.NONCE_BYTES, "big")
         text = token.issue(self.states[shard], key=key, now=now, random_bytes=nonce)
         self.issued.append(Issued(text=text, key=key, at=self.now))
@@ -83,29 +85,31 @@
     @stateful.precondition(lambda self: self.issued)
     @stateful.rule(index=strategies.integers(0, 2), is_quick=strategies.booleans())
     def send(self, index: int, is_quick: bool) -> None:
-        one = self.issued[-1 - index % len(self.issued)]
-        shard = self.find_shard(one.key)
+        issued = self.issued[-1 - index % len(self.issued)]
+        shard = self.find_shard(issued.key)
         state, node = self.states[shard], self.place[shard]
-        standing = token.begin(state, one.text, key=one.key, now=self.read(node)).standing
+        standing = token.begin(
+            state, issued.text, key=issued.key, now=self.read_clock(node)
+        ).standing
         if standing is token.Standing.FRESH:
-            one.runs += 1
-            assert one.runs == 1, "a token ran twice"
+            issued.runs += 1
+            assert issued.runs == 1, "a token ran twice"
             # A handed-over clock lags by the duration of each handover, and so does the memory.
-            age_s = self.now - one.at - self.lag_s
+            age_s = self.now - issued.at - self.lag_s
             assert age_s < self.life_s + token_memory.CLOCK_TOLERANCE_S, "an expired token ran"
             if is_quick:
-                token.finish(state, one.text, ANSWERED, now=self.read(node))
+                token.finish(state, issued.text, ANSWERED, now=self.read_clock(node))
             else:
-                self.running.append((state, node, one))
-        elif one.runs == 0 and not one.is_lost and self.now - one.at < LIFE_S - 2:
+                self.running.append((state, node, issued))
+        elif issued.runs == 0 and not issued.is_lost and self.now - issued.at < LIFE_S - 2:
             assert standing is token.Standing.MEMORY_FULL, f"an unused token is {standing}"
 
     @stateful.precondition(lambda self: self.former and self.issued)
     @stateful.rule(index=strategies.integers(0, 2), which=strategies.integers(0, 2))
     def send_to_former_owner(self, index: int, which: int) -> None:
-        one = self.issued[-1 - index % len(self.issued)]
+        issued = self.issued[-1 - index % len(self.issued)]
         node, state = self.former[-1 - which % len(self.former)]
-        found = token.begin(state, one.text, key=one.key, now=self.read(node))
+        found = token.begin(state, issued.text, key=issued.key, now=self.read_clock(node))
         assert found.standing is not token.Standing.FRESH, "a former owner runs a token"
 
     @stateful.precondition(lambda self: self.running)
@@ -114,12 +118,12 @@
         ending=strategies.sampled_from([*ENDINGS, outcome.refuse(outcome.Reason.TARGET_SHED)]),
     )
     def end(self, index: int, ending: outcome.Outcome) -> None:
-        state, node, one = self.running.pop(index % len(self.running))
-        is_recorded = token.finish(state, one.text, ending, now=self.read(node))
+        state, node, issued = self.running.pop(index % len(self.running))
+        is_recorded = token.finish(state, issued.text, ending, now=self.read_clock(node))
         # Once exported, a running token counts as used: the next owner cannot learn that it did not
         # run.
         if ending.verdict is outcome.Verdict.NOT_RUN and is_recorded:
-            one.runs -= 1
+            issued.runs -= 1
 
     @stateful.rule(
         seconds=strategies.sampled_from([1.0, LIFE_S]),
@@ -129,7 +133,7 @@
     def pass_time(self, seconds: float, life_s: float, is_resent: bool) -> None:
         self.now += seconds
         for shard, state in self.states.items():
-            token_memory.forget(state, self.read(self.place[shard]))
+            token_memory.forget(state, self.read_clock(self.place[shard]))
         self.life_s = life_s
         for state in self.states.values():
             state.life_s = life_s
@@ -143,70 +147,70 @@
         grants=strategies.integers(1, 2),
     )
     def move(self, node: int, transit_s: float, is_own: bool, grants: int) -> None:
-        shard = OWN if is_own and OWN in self.states else PARTITION
+        shard = KEY_SHARD if is_own and KEY_SHARD in self.states else PARTITION
         state, before = self.states[shard], self.place[shard]
-        moved = token_memory.export_memory(state, self.read(before))
+        moved = token_memory.export_memory(state, self.read_clock(before))
         self.former.append((before, state))
         self.now += transit_s
         self.lag_s += transit_s
         after = self.create(shard, node)
         for _ in range(grants):
-            if not token_memory.import_memory(after, moved, self.read(node)):
-                self.note_loss(shard)
+            if not token_memory.import_memory(after, moved, self.read_clock(node)):
+                self.mark_lost(shard)
         self.states[shard], self.place[shard] = after, node
 
     @stateful.rule(node=strategies.sampled_from([0, 1, 2]), is_own=strategies.booleans())
     def lose(self, node: int, is_own: bool) -> None:
-        shard = OWN if is_own and OWN in self.states else PARTITION
+        shard = KEY_SHARD if is_own and KEY_SHARD in self.states else PARTITION
         token_memory.drop(self.states[shard])
         self.states[shard], self.place[shard] = self.create(shard, node), node
-        self.note_loss(shard)
+        self.mark_lost(shard)
 
-    def note_loss(self, shard: identity.ShardId) -> None:
-        for one in self.issued:
-            if self.find_shard(one.key) == shard:
-                one.is_lost = True
+    def mark_lost(self, shard: identity.ShardId) -> None:
+        for issued in self.issued:
+            if self.find_shard(issued.key) == shard:
+                issued.is_lost = True
 
-    @stateful.precondition(lambda self: OWN not in self.states)
+    @stateful.precondition(lambda self: KEY_SHARD not in self.states)
     @stateful.rule()
     def split(self) -> None:
         self.fence += 1
         node = self.place[PARTITION]
-        self.states[OWN] = token_memory.split(
+        self.states[KEY_SHARD] = token_memory.split(
             self.states[PARTITION],
             key=KEYS[0],
-            shard=OWN,
+            shard=KEY_SHARD,
             fence=identity.Fence(self.fence),
-            now=self.read(node),
+            now=self.read_clock(node),
         )
-        self.place[OWN] = node
+        self.place[KEY_SHARD] = node
 
-    @stateful.precondition(lambda self: OWN not in self.states and self.issued)
+    @stateful.precondition(lambda self: KEY_SHARD not in self.states and self.issued)
     @stateful.rule(index=strategies.integers(0, 2))
     def lose_after_split(self, index: int) -> None:
         self.split()
         self.send(index, True)
         self.lose(self.place[PARTITION], True)
 
-    @stateful.precondition(lambda self: OWN in self.states)
+    @stateful.precondition(lambda self: KEY_SHARD in self.states)
     @stateful.rule()
     def merge(self) -> None:
         self.move(self.place[PARTITION], 0.0, True, 1)
-        state, node = self.states.pop(OWN), self.place.pop(OWN)
-        moved = token_memory.export_memory(state, self.read(node))
+        state, node = self.states.pop(KEY_SHARD), self.place.pop(KEY_SHARD)
+        moved = token_memory.export_memory(state, self.read_clock(node))
         self.former.append((node, state))
         self.now += 0.005
         self.lag_s += 0.005
-        if not token_memory.import_memory(self.states[PARTITION], moved, self.read(node)):
-            for one in self.issued:
-                one.is_lost = one.is_lost or one.key == KEYS[0]
+        if not token_memory.import_memory(self.states[PARTITION], moved, self.read_clock(node)):
+            for issued in self.issued:
+                issued.is_lost = issued.is_lost or issued.key == KEYS[0]
 
     @stateful.invariant()
     def check_quota(self) -> None:
         for node, quota in enumerate(self.quotas):
-            held = [self.states[shard] for shard in self.states if self.place[shard] == node]
-            held += [state for place, state in self.former if place == node]
-            assert quota.count == sum(len(state.used) + len(state.running) for state in held)
+            memories = [self.states[shard] for shard in self.states if self.place[shard] == node]
+            memories += [state for place, state in self.former if place == node]
+            assert quota.count == sum(len(state.used) + len(state.running) for state in memories)
             assert quota.count <= token_memory.MAX_IMPORT_FACTOR * quota.limit
             if quota.count > quota.limit // 2:
                 self.drop_former()
@@ -281,7 +285,9 @@
     text = issue(state, 100.0)
     assert token.begin(state, text, key=KEYS[0], now=101.0).standing is token.Standing.FRESH
     assert token.begin(state, text, key=KEYS[0], now=102.0).standing is token.Standing.IN_PROGRESS
-    own = token_memory.split(state, key=KEYS[0], shard=OWN, fence=identity.Fence(4), now=102.0)
+    own = token_memory.split(
+        state, key=KEYS[0], shard=KEY_SHARD, fence=identity.Fence(4), now=102.0
+    )
     token.finish(state, text, ANSWERED, now=103.0)
     found = token.begin(own, text, key=KEYS[0], now=104.0)
     assert found.standing is token.Standing.USED
@@ -329,42 +335,42 @@
 
 
 def split_without_departure(state: token_memory.Memory, **details: object) -> token_memory.Memory:
-    own = WHOLE_SPLIT(state, **details)  # type: ignore[arg-type]
-    for reach in state.coverage.values():
-        reach.split_keys.clear()
-    return own
+    key_memory = ORIGINAL_SPLIT(state, **details)  # type: ignore[arg-type]
+    for coverage in state.coverage.values():
+        coverage.split_keys.clear()
+    return key_memory
 
 
 def export_open(state: token_memory.Memory, now: float) -> message.TokenMemory:
-    moved = WHOLE_EXPORT(state, now)
+    moved = ORIGINAL_EXPORT(state, now)
     state.is_closed = False
     return moved
 
 
 def export_used(state: token_memory.Memory, now: float) -> message.TokenMemory:
     state.running.clear()
-    return WHOLE_EXPORT(state, now)
+    return ORIGINAL_EXPORT(state, now)
 
 
 def import_without_clock(
     state: token_memory.Memory, moved: message.TokenMemory, now: float
 ) -> bool:
-    is_done = WHOLE_IMPORT(state, moved, now)
-    for reach in state.coverage.values():
-        reach.offset_s = 0.0
+    is_done = ORIGINAL_IMPORT(state, moved, now)
+    for coverage in state.coverage.values():
+        coverage.offset_s = 0.0
     return is_done
 
 
-def find_any_reach(
-    state: token_memory.Memory, *place: object, **token_: object
+def find_any_coverage(
+    state: token_memory.Memory, *args: object, **kwargs: object
 ) -> token_memory.EpochCoverage:
-    return WHOLE_FIND(state, *place, **token_) or token_memory.EpochCoverage()  # type: ignore[arg-type]
+    return ORIGINAL_FIND(state, *args, **kwargs) or token_memory.EpochCoverage()  # type: ignore[arg-type]
 
 
-WHOLE_SPLIT = token_memory.split
-WHOLE_EXPORT = token_memory.export_memory
-WHOLE_IMPORT = token_memory.import_memory
-WHOLE_FIND = token_memory.find_coverage
+ORIGINAL_SPLIT = token_memory.split
+ORIGINAL_EXPORT = token_memory.export_memory
+ORIGINAL_IMPORT = token_memory.import_memory
+ORIGINAL_FIND = token_memory.find_coverage
 
 
 @pytest.mark.parametrize(
@@ -375,7 +381,7 @@
         ("export_memory", export_open),
         ("export_memory", export_used),
         ("import_memory", import_without_clock),
-        ("find_coverage", find_any_reach),
+        ("find_coverage", find_any_coverage),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
