--- a/src/ebonyvalve/request/token.py
+++ b/src/ebonyvalve/request/token.py
@@ -155,12 +155,14 @@
     if state.is_closed:
         return Finding(standing=Standing.MOVED)
     issued_s = token.issued_ms / 1000
-    reach = token_memory.find_coverage(state, token.shard, token.fence, key=tag, issued_s=issued_s)
-    if reach is None:
+    coverage = token_memory.find_coverage(
+        state, token.shard, token.fence, key=tag, issued_s=issued_s
+    )
+    if coverage is None:
         return Finding(standing=Standing.EPOCH_LOST)
-    if token_memory.is_expired(state, reach, issued_s, now):
+    if token_memory.is_expired(state, coverage, issued_s, now):
         return Finding(standing=Standing.EXPIRED)
-    if issued_s > min(now - reach.offset_s + token_memory.CLOCK_TOLERANCE_S, reach.closed_s):
+    if issued_s > min(now - coverage.offset_s + token_memory.CLOCK_TOLERANCE_S, coverage.closed_s):
         # No token is issued in the future; accepting such a token would extend its lifetime.
         return Finding(standing=Standing.MALFORMED)
     if state.quota.count >= state.quota.limit:
--- a/tests/request/test_crash.py
+++ b/tests/request/test_crash.py
@@ -73,7 +73,7 @@
     assert detector.quarantine.crashes.keys() == {crash.fingerprint(build_call("/a"))}
 
 
-async def test_target_that_breaks_off_answers_and_lives(
+async def test_broken_replies_are_not_taken_for_a_crash(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against taking broken replies for a crash, and against a new connection for each."""
@@ -134,6 +134,7 @@
 async def test_other_requests_have_other_fingerprints(
     change: collections.abc.Mapping[str, object],
 ) -> None:
+    """Guards against quarantining another request, and against missing a retry of the same one."""
     call = build_call("/a")
     other = dataclasses.replace(call, **change)  # type: ignore[arg-type]
     again = dataclasses.replace(call, request_id="another", headers=[(b"x", b"y")])
--- a/tests/request/test_explanation.py
+++ b/tests/request/test_explanation.py
@@ -65,6 +65,7 @@
     [("/none/", None, "404"), ("/lookup/", None, "need a key: 400")],
 )
 def test_refusals_are_explained(path: str, key_slot: int | None, expected: str) -> None:
+    """Guards against an explanation without the status that callers would get."""
     assert expected in "\n".join(explanation.explain(build_origin(), mesh.HOST, path, key_slot))
 
 
--- a/tests/request/test_reachability.py
+++ b/tests/request/test_reachability.py
@@ -223,5 +223,6 @@
     ],
 )
 def test_pings_name_the_intended_node(path: str, status: int) -> None:
+    """Guards against a node that answers a ping for another node that had its address before."""
     node = test_origin.build_origin(0.0).node
     assert reachability.answer_ping(node, path) == status
--- a/tests/request/test_token.py
+++ b/tests/request/test_token.py
@@ -264,7 +264,7 @@
         (lambda text: replace(text, shard="paquetes/7"), token.Standing.WRONG_SHARD),
     ],
 )
-def test_check_of_changed_tokens(
+def test_standing_of_altered_tokens(
     change: collections.abc.Callable[[str], str], standing: token.Standing
 ) -> None:
     """Guards against an altered text that is accepted as another token and runs again."""
