--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -1,4 +1,4 @@
-"""Takes one request from its arrival to its outcome, without any HTTP type."""
+"""Handles one request from its arrival to its outcome, independent of the HTTP library."""
 
 import collections.abc
 import dataclasses
@@ -25,9 +25,10 @@
 
 log = logging.getLogger(__name__)
 
-# A node that cannot be reached is tried again this often while its lease may still be live.
+# Retry interval for an unreachable node while its lease may still be valid.
 RECHECK_INTERVAL_S = 0.05
-# Nothing was sent for these, so waiting for the next owner cannot multiply load.
+# Reasons to wait for the key's next owner. No target ran the request, so that waiting and retrying
+# cannot multiply load.
 AWAITS_NEXT_OWNER = frozenset(
     {
         outcome.Reason.CONNECT_FAILED,
@@ -42,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Handler:
-    """What the requests of a node share."""
+    """State shared by the requests of a node."""
 
     here: site.Site
     snapshot: collections.abc.Callable[[], route.Snapshot | None]
@@ -64,16 +65,16 @@
     attempts: int = 0
     corrections: int = 0
     corrected: identity.NodeId | None = None
-    # An attempt ended without a known outcome, so that a later refusal cannot say "not run".
+    # An attempt ended with an unknown outcome, so a later refusal does not show "not run".
     may_have_run: bool = False
     tried: set[identity.NodeId] = dataclasses.field(default_factory=set)
     choice: routing.Route | None = None
 
 
 async def handle(shared: Handler, call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
-    """Run a request, or refuse it, and tell the caller which.
+    """Run or refuse a request, reply to the caller, and return the outcome.
 
-    :param shared: what the node's requests share.
+    :param shared: state shared by the node's requests.
     :param call: the request.
     :param caller: the caller's end.
     """
@@ -95,9 +96,9 @@
 
 
 async def _serve(shared: Handler, progress: Progress) -> outcome.Outcome:
-    """Serve a request; stop at once when the caller of a request that may be repeated leaves.
+    """Serve a request; cancel an idempotent one as soon as its caller leaves.
 
-    A request that must not run twice goes on, so that a resend learns its outcome.
+    A request that must not run twice continues, so that its outcome is recorded for a resend.
     """
     call = progress.call
     is_idempotent = call.method in progress.service.idempotent_methods
@@ -117,6 +118,7 @@
 
 
 async def _try_until_answered(shared: Handler, progress: Progress) -> outcome.Outcome:
+    """Make attempts until the caller has been sent a reply or a refusal."""
     here = shared.here
     if not progress.call.is_hop:
         budget.credit(here.retries)
@@ -131,7 +133,7 @@
             return await _send_refusal(progress, choice.reason)
         if choice.choice is routing.Choice.REFUSE:
             if choice.reason is outcome.Reason.MOVED and not progress.call.is_hop:
-                # Both views are out of date; the next renewal brings a newer one.
+                # The routes of both nodes are out of date; the next renewal brings newer ones.
                 progress.corrections = 0
                 progress.corrected = None
                 if await _wait(here, progress.call, changed):
@@ -149,6 +151,7 @@
 
 
 def _choose(shared: Handler, progress: Progress) -> routing.Route:
+    """Choose where the next attempt of a request runs."""
     call = progress.call
     return routing.choose(
         build_view(shared.here, call.key),
@@ -163,7 +166,7 @@
 
 
 def build_view(here: site.Site, key: identity.KeyId) -> routing.View:
-    """Return what the node knows at this moment for the routing of one request.
+    """Return what the node knows at present, for the routing of one request.
 
     :param here: the node's state.
     :param key: the key of the request.
@@ -197,21 +200,22 @@
     if not service.is_keyed:
         return None
     node = here.read_node()
-    own = identity.name_key(service.name, key)
-    if own in node.holdings or own in node.routes:
-        return own
+    key_shard = identity.name_key(service.name, key)
+    if key_shard in node.holdings or key_shard in node.routes:
+        return key_shard
     return identity.name_partition(service.name, route.find_partition(service, key))
 
 
 async def _attempt(
     shared: Handler, progress: Progress, choice: routing.Route
 ) -> exchange.Completion:
+    """Make one attempt, with a hedge if the request may have one."""
     progress.attempts += 1
     node = choice.node or shared.here.node
     progress.tried.add(node)
     first = functools.partial(try_node, shared, progress, node)
     if progress.service.is_keyed or progress.call.is_hop or progress.call.token is not None:
-        return await first(gate=hedge.accept_all)
+        return await first(filter_reply=hedge.accept_all)
 
     def choose_other() -> (
         collections.abc.Callable[..., collections.abc.Awaitable[exchange.Completion]] | None
@@ -232,14 +236,14 @@
     progress: Progress,
     node: identity.NodeId,
     *,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
 ) -> exchange.Completion:
     """Make one attempt at one node.
 
-    :param shared: what the node's requests share.
+    :param shared: state shared by the node's requests.
     :param progress: the request.
     :param node: this node or another one.
-    :param gate: the last word on an answer.
+    :param filter_reply: decides last whether a reply is passed on.
     """
     here = shared.here
     call = progress.call
@@ -248,31 +252,33 @@
         if member is None:
             return exchange.Completion(result=outcome.refuse(outcome.Reason.CONNECT_FAILED))
         return await hop.run(
-            here, call, progress.caller, progress.service, member, shared.hop_pool, gate
+            here, call, progress.caller, progress.service, member, shared.hop_pool, filter_reply
         )
     if site.is_drained(here):
         return exchange.Completion(result=outcome.refuse(outcome.Reason.DRAINED))
     shard = find_shard(here, progress.service, call.key)
     if shard is None:
-        return await _run_unkeyed(shared, progress, gate)
+        return await _run_unkeyed(shared, progress, filter_reply)
     granted = lease.find_fence(here.read_node(), shard, call.key, here.now())
     if granted is None:
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
 
     def is_granted() -> bool:
-        held = lease.find_fence(here.read_node(), shard, call.key, here.now())
-        return held == granted and not site.is_drained(here)
+        current = lease.find_fence(here.read_node(), shard, call.key, here.now())
+        return current == granted and not site.is_drained(here)
 
-    return await local.run(here, _build_job(shared, progress, shard, granted, is_granted), gate)
+    return await local.run(
+        here, _build_job(shared, progress, shard, granted, is_granted), filter_reply
+    )
 
 
 async def _run_unkeyed(
-    shared: Handler, progress: Progress, gate: dispatch.FilterReply
+    shared: Handler, progress: Progress, filter_reply: dispatch.FilterReply
 ) -> exchange.Completion:
-    """Run a request of a service without keys here, in the node's own name.
+    """Run a request of a service without keys here, with the node itself as the shard.
 
-    The node must have a live lease all the same, since only then does it know the configuration
-    in force, and with it whether its zone is drained.
+    The node still needs a live lease: only then does it know the configuration in force, and thus
+    whether its zone is drained.
     """
     here = shared.here
 
@@ -283,7 +289,9 @@
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
     shard = token_memory.name_node_shard(progress.service.name, here.node)
     fence = token_memory.derive_fence(here.incarnation)
-    return await local.run(here, _build_job(shared, progress, shard, fence, is_granted), gate)
+    return await local.run(
+        here, _build_job(shared, progress, shard, fence, is_granted), filter_reply
+    )
 
 
 def _build_job(
@@ -307,7 +315,7 @@
 async def _prepare_retry(
     here: site.Site, progress: Progress, completion: exchange.Completion, changed: trio.Event
 ) -> bool:
-    """Wait as the rules ask before the next attempt; return whether there is one."""
+    """Decide whether there is another attempt, and wait for the delay that the rules set for it."""
     call = progress.call
     reason = completion.result.reason
     is_not_run = completion.result.verdict is outcome.Verdict.NOT_RUN
@@ -326,7 +334,7 @@
     others = hedge.list_others(here, progress.service, progress.tried)
     if not others:
         progress.tried.clear()
-    verdict = retry.decide(
+    retry_decision = retry.decide(
         completion.result,
         is_idempotent=call.method in progress.service.idempotent_methods,
         is_body_held=call.is_body_buffered or not completion.is_body_open,
@@ -336,7 +344,7 @@
         remaining_s=call.deadline_at_s - here.now(),
         bucket=here.retries,
     )
-    if verdict is not retry.Retry.RETRY:
+    if retry_decision is not retry.Retry.RETRY:
         return False
     await trio.sleep(
         retry.delay(progress.attempts, here.random.random(), has_other_target=bool(others))
@@ -347,7 +355,7 @@
 async def _wait(
     here: site.Site, call: exchange.Call, changed: trio.Event, *, at_most_s: float | None = None
 ) -> bool:
-    """Wait for a change; return whether the deadline still allows an attempt."""
+    """Wait for a change of the node's state; return whether the deadline allows an attempt."""
     remaining_s = call.deadline_at_s - here.now()
     if remaining_s <= 0:
         return False
@@ -361,15 +369,15 @@
     progress: Progress, reason: outcome.Reason, *, owner: identity.NodeId | None = None
 ) -> outcome.Outcome:
     """Refuse a request for which there is no further attempt."""
-    is_doubtful = progress.may_have_run or reason is outcome.Reason.TOKEN_EPOCH_LOST
-    refusal = outcome.unknown(reason) if is_doubtful else outcome.refuse(reason)
+    may_have_run = progress.may_have_run or reason is outcome.Reason.TOKEN_EPOCH_LOST
+    refusal = outcome.unknown(reason) if may_have_run else outcome.refuse(reason)
     return await _send_completion(progress.caller, exchange.Completion(result=refusal, owner=owner))
 
 
 async def _send_completion(
     caller: exchange.Caller, completion: exchange.Completion
 ) -> outcome.Outcome:
-    """Tell the caller that its request did not run, may have run, or ran before."""
+    """Reply to the caller that its request did not run, may have run, or has run before."""
     body = f"{completion.result.verdict.value}: {completion.result.reason.value}\n".encode()
     headers = [
         *front.build_outcome_headers(completion.result),
@@ -391,6 +399,7 @@
     result: outcome.Outcome,
     progress: Progress | None,
 ) -> None:
+    """Log a finished request; of the answered ones only a sample."""
     is_answered = result.verdict is outcome.Verdict.ANSWERED
     if is_answered and not decision.is_sampled(call.request_id, shared.log_answered_share):
         return
--- a/src/ebonyvalve/request/hop.py
+++ b/src/ebonyvalve/request/hop.py
@@ -1,4 +1,4 @@
-"""Passes a request on to the node beside another target."""
+"""Forwards a request to the node of another target."""
 
 from ebonyvalve.connection import pool, wire
 from ebonyvalve.process import identity, message, site, straggler
@@ -14,9 +14,9 @@
     service: objects.Service,
     member: message.Member,
     connections: pool.Pool,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
 ) -> exchange.Completion:
-    """Pass a request on to another node and its answer back.
+    """Forward a request to another node, and pass the reply to the caller.
 
     :param here: the node's state.
     :param call: the request.
@@ -24,16 +24,17 @@
     :param service: the service.
     :param member: the other node.
     :param connections: connections to other nodes.
-    :param gate: the last word on an answer; a hedged request uses it to let one answer pass.
+    :param filter_reply: decides last whether a reply is passed on; a hedged request uses it to pass
+        on one reply only.
     """
     is_idempotent = call.method in service.idempotent_methods
     started_s = here.now()
 
-    def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
-        said = read_outcome(status, headers)
-        if _may_retry_elsewhere(said, is_idempotent=is_idempotent):
+    def filter_hop_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+        reported = read_outcome(status, headers)
+        if _may_retry_elsewhere(reported, is_idempotent=is_idempotent):
             return None
-        return gate(status, dispatch.filter_headers(headers))
+        return filter_reply(status, dispatch.filter_headers(headers))
 
     extra = local.list_extra(call, started_s)
     if call.token is not None:
@@ -42,9 +43,9 @@
         pool=connections,
         address=member.hop_address,
         extra_headers=extra,
-        filter_reply=relay,
+        filter_reply=filter_hop_reply,
         p99_s=straggler.read_quantile(here.books[service.name], 0.99),
-        max_idle_s=None if is_idempotent else local.MAX_IDLE_ONCE_S,
+        max_idle_s=None if is_idempotent else local.MAX_IDLE_UNREPEATABLE_S,
         awaits_continue=not call.is_body_buffered,
     )
     here.in_flight[member.node] += 1
@@ -60,8 +61,8 @@
 def read_outcome(status: int, headers: exchange.Headers) -> outcome.Outcome:
     """Return the outcome that another node reported.
 
-    :param status: the status code of its answer.
-    :param headers: the headers of its answer.
+    :param status: the status code of its reply.
+    :param headers: the headers of its reply.
     """
     verdict = wire.find_header(headers, front.OUTCOME_HEADER) or b"unknown"
     reason = wire.find_header(headers, front.REASON_HEADER) or b"none"
@@ -72,13 +73,14 @@
             status=status,
         )
     except ValueError:
-        # A later release may know more reasons.
+        # The other node may run a later release that has more reasons.
         return outcome.Outcome(
             verdict=outcome.Verdict.UNKNOWN, reason=outcome.Reason.NONE, status=status
         )
 
 
 def _may_retry_elsewhere(reported: outcome.Outcome, *, is_idempotent: bool) -> bool:
+    """Return whether a refusal by another node may be followed by an attempt elsewhere."""
     if reported.verdict is outcome.Verdict.ANSWERED:
         return False
     if reported.verdict is outcome.Verdict.UNKNOWN and not is_idempotent:
@@ -87,6 +89,7 @@
 
 
 def _conclude(attempt_result: attempts.AttemptResult) -> exchange.Completion:
+    """Return the completion of a request that was forwarded to another node."""
     attempt = attempt_result.attempt
     if attempt.step is dispatch.Step.WITHHELD:
         owner = wire.find_header(attempt.headers, front.OWNER_HEADER)
@@ -110,10 +113,10 @@
     attempt_result: attempts.AttemptResult,
     started_s: float,
 ) -> None:
-    """Note the latency; a cancelled attempt counts with the time it took until then."""
+    """Record the latency; a cancelled attempt counts with the time until its cancellation."""
     if not attempt_result.attempt.is_sent:
         return
     head_s = attempt_result.attempt.head_at_s
     latency_s = (here.now() if head_s is None else head_s) - started_s
-    book = here.books[service.name]
-    straggler.record(book, node, latency_s, is_complete=head_s is not None)
+    service_latencies = here.books[service.name]
+    straggler.record(service_latencies, node, latency_s, is_complete=head_s is not None)
--- a/src/ebonyvalve/request/hop_headers.py
+++ b/src/ebonyvalve/request/hop_headers.py
@@ -1,4 +1,4 @@
-"""The headers with which one node sends a request to another, and those of the answer."""
+"""Builds and parses the headers that nodes exchange with forwarded requests and their replies."""
 
 import logging
 
@@ -16,7 +16,7 @@
 RULES_HEADER = b"ebonyvalve-rules"
 LOAD_HEADER = b"ebonyvalve-load"
 REFUSED_HEADER = b"ebonyvalve-refused"
-# The newest row of the operator that the sender has applied.
+# Version of the newest operator row that the sender has applied.
 VERSION_HEADER = b"ebonyvalve-seen"
 OWNER_HEADER = b"ebonyvalve-owner"
 RETRY_AFTER_HEADER = b"retry-after"
@@ -30,33 +30,33 @@
 
 
 def read_refusal(value: bytes, headers: exchange.Headers) -> delivery.Completion:
-    """Return what another node says of a request that it did not answer.
+    """Return the completion of a request that another node refused.
 
-    What can't be read promises nothing: the request may have run.
+    If the headers cannot be parsed, the outcome is unknown: the request may have run.
 
-    :param value: of the header with the verdict and the reason.
-    :param headers: all headers of the answer.
+    :param value: the value of the header with the verdict and the reason.
+    :param headers: all headers of the reply.
     """
-    verdict, _, reason = value.partition(b":")
-    said = VERDICTS.get(verdict)
-    why = REASONS.get(reason)
+    raw_verdict, _, raw_reason = value.partition(b":")
+    verdict = VERDICTS.get(raw_verdict)
+    reason = REASONS.get(raw_reason)
     retry_after = wire.find_header(headers, RETRY_AFTER_HEADER) or b"0"
     retry_after_s = decoding.read_number(retry_after, max_value=MAX_RETRY_AFTER_S)
     named = wire.find_header(headers, OWNER_HEADER)
     owner = decoding.read_name(named) if named else ""
-    if said is None or why is None or retry_after_s is None or owner is None:
+    if verdict is None or reason is None or retry_after_s is None or owner is None:
         decision.record(log, logging.WARNING, "refusal-unreadable", value=repr(value)[:100])
         return delivery.Completion(result=outcome.unknown(outcome.Reason.CONNECTION_LOST))
-    is_not_run = said is outcome.Verdict.NOT_RUN
+    is_not_run = verdict is outcome.Verdict.NOT_RUN
     return delivery.Completion(
-        result=outcome.refuse(why) if is_not_run else outcome.unknown(why),
+        result=outcome.refuse(reason) if is_not_run else outcome.unknown(reason),
         retry_after_s=retry_after_s,
         owner=identity.NodeId(owner) if owner else None,
     )
 
 
 def strip_headers(headers: exchange.Headers) -> exchange.Headers:
-    """Return headers without those of the mesh.
+    """Return headers without the mesh's own.
 
     :param headers: pairs with names in lower case.
     """
@@ -64,7 +64,7 @@
 
 
 def build_headers(call: exchange.Call, now: float) -> exchange.Headers:
-    """Return the headers that tell another node what it needs of a request.
+    """Return the headers that forward a request's service, deadline and rules to another node.
 
     :param call: the request, with its rules.
     :param now: seconds on the node's clock.
@@ -86,7 +86,7 @@
 
 
 def is_hop(headers: exchange.Headers) -> bool:
-    """Return whether a request of another node is a caller's, and no message of its own.
+    """Return whether a request of another node is a forwarded one, not a message between nodes.
 
     :param headers: its headers.
     """
@@ -94,51 +94,53 @@
 
 
 def parse_headers(call: exchange.Call, headers: exchange.Headers) -> bool:
-    """Read what :func:`dress_hop` wrote into a request; return whether it was all there.
+    """Set a request's service, deadline and rules from the headers of :func:`build_headers`.
 
-    :param call: the request, as read.
+    :param call: the request, as received from another node.
     :param headers: its headers.
+    :return: whether all of the headers were present and valid.
     """
     found = {name: value for name, value in headers if name.startswith(HEADER_PREFIX)}
     service = decoding.read_name(found.get(SERVICE_HEADER, b""))
-    entered_at = decoding.read_name(found.get(ORIGIN_HEADER, b""))
-    left_ms = decoding.read_count(found.get(DEADLINE_HEADER, b""))
-    rules = _read_rules(found.get(RULES_HEADER, b""), entered_at or "")
-    if service is None or entered_at is None or left_ms is None or rules is None:
+    origin_service = decoding.read_name(found.get(ORIGIN_HEADER, b""))
+    remaining_ms = decoding.read_count(found.get(DEADLINE_HEADER, b""))
+    rules = _read_rules(found.get(RULES_HEADER, b""), origin_service or "")
+    if service is None or origin_service is None or remaining_ms is None or rules is None:
         decision.record(log, logging.WARNING, "hop-unreadable", cause=str(found)[:200])
         return False
     call.service = identity.ServiceId(service)
-    call.deadline_at_s = call.arrived_at_s + left_ms / 1000
+    call.deadline_at_s = call.arrived_at_s + remaining_ms / 1000
     call.rules = rules
     return True
 
 
-def _read_rules(value: bytes, entered_at: str) -> exchange.Rules | None:
+def _read_rules(value: bytes, origin_service: str) -> exchange.Rules | None:
+    """Return the rules in the value of a rules header, or ``None`` if it is invalid."""
     fields = value.split(b",", RULES_FIELDS - 1)
     if len(fields) != RULES_FIELDS:
         return None
-    repeatable, attempts, priority, objective_ms, key, kind = fields
-    numbers = [decoding.read_count(text) for text in (attempts, priority, objective_ms)]
+    repeatable, raw_attempts, raw_priority, raw_objective_ms, key, route = fields
+    numbers = [decoding.read_count(text) for text in (raw_attempts, raw_priority, raw_objective_ms)]
     key_slot = decoding.read_count(key, max_value=identity.LAST_SLOT)
     if None in numbers or (key and key_slot is None):
         return None
-    max_attempts, rank, goal_ms = (number or 0 for number in numbers)
+    max_attempts, priority, objective_ms = (number or 0 for number in numbers)
     return exchange.Rules(
         is_repeatable=repeatable == b"1",
         max_attempts=max_attempts,
-        priority=rank,
-        objective_s=goal_ms / 1000,
-        origin_service=identity.ServiceId(entered_at),
+        priority=priority,
+        objective_s=objective_ms / 1000,
+        origin_service=identity.ServiceId(origin_service),
         key_slot=key_slot,
-        route=kind.decode("ascii", "backslashreplace"),
+        route=route.decode("ascii", "backslashreplace"),
     )
 
 
 def record_load(view: selection.TargetView, headers: exchange.Headers, now: float) -> None:
-    """Note the load that another node tells of its target; one that can't be read says nothing.
+    """Record the load that another node reports for its target; an invalid report is ignored.
 
-    :param view: what is known of the target.
-    :param headers: of the other node's answer.
+    :param view: the state of the target as seen here.
+    :param headers: headers of the other node's reply.
     :param now: seconds on the node's clock.
     """
     fields = (wire.find_header(headers, LOAD_HEADER) or b"").split(b",")
@@ -162,7 +164,7 @@
 
 
 def build_version_header(node: node_module.Node) -> exchange.Headers:
-    """Return the header that tells another node how new this node's configuration is.
+    """Return the header with the version of this node's operator rows.
 
     :param node: the node.
     """
@@ -172,11 +174,11 @@
 def record_version(
     node: node_module.Node, headers: exchange.Headers, by: identity.NodeId | None = None
 ) -> None:
-    """Note that another node may have news.
+    """Record the version of the operator rows that another node advertises.
 
     :param node: the node.
-    :param headers: of a request or an answer of the other node.
-    :param by: the other node, if that is known.
+    :param headers: headers of a request or reply of the other node.
+    :param by: the other node, if it is known.
     """
     version = decoding.read_count(wire.find_header(headers, VERSION_HEADER) or b"")
     if version is not None:
@@ -184,12 +186,12 @@
 
 
 def build_load_headers(node: node_module.Node) -> exchange.Headers:
-    """Return the header that tells another node the load of this node's target.
+    """Return the headers with the load of this node's target and its operator version.
 
     :param node: the node.
     """
     load = node_module.measure_load(node)
-    # A node that is behind answers late however fast its target is.
+    # A node whose event loop lags replies late however fast its target is.
     work_ms = max(1, int((load.work_s + lag.expect_delay(node.loop_lag)) * 1000))
     value = f"{load.busy},{load.slots},{work_ms},{load.offered:.3f},{load.request_load:.5f}"
     return [(LOAD_HEADER, value.encode()), *build_version_header(node)]
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -1,4 +1,4 @@
-"""Runs a request at the target beside this node: token, quarantine, admission, one attempt."""
+"""Runs a request at this node's target: token, quarantine, admission, and one attempt."""
 
 import collections.abc
 import dataclasses
@@ -36,9 +36,9 @@
 
 log = logging.getLogger(__name__)
 
-# A target may close a connection that was idle for long; a request that must not run twice takes
-# a newer one, because a loss after the first byte could only be answered with "unknown".
-MAX_IDLE_ONCE_S = 1.0
+# Idle limit for connections that carry requests that must not run twice. A target may close a
+# connection that was idle for long, and a loss after the first byte leaves the outcome unknown.
+MAX_IDLE_UNREPEATABLE_S = 1.0
 
 TARGET_REASONS = {
     b"stale-fence": outcome.Reason.STALE_FENCE,
@@ -52,9 +52,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Job:
-    """A request that this node serves, with the grant under which it does.
+    """A request that this node serves, and the grant under which it does.
 
-    ``is_granted`` tells whether the grant still holds. For services without keys ``shard`` names
+    ``is_granted`` says whether the grant is still valid. For services without keys, ``shard`` names
     the node and ``fence`` its incarnation.
     """
 
@@ -67,42 +67,51 @@
     connections: pool.Pool
 
 
-async def run(here: site.Site, job: Job, gate: dispatch.FilterReply) -> exchange.Completion:
-    """Run a request at the local target, or say why it was not run.
+async def run(here: site.Site, job: Job, filter_reply: dispatch.FilterReply) -> exchange.Completion:
+    """Run a request at the local target, or refuse it.
 
     :param here: the node's state.
     :param job: the request and the grant.
-    :param gate: the last word on an answer; a hedged request uses it to let one answer pass.
+    :param filter_reply: decides last whether a reply is passed on; a hedged request uses it to pass
+        on one reply only.
     """
     call = job.call
     if not target.is_up(here.target) or here.target.address is None:
         return exchange.Completion(result=outcome.refuse(outcome.Reason.NO_TARGET))
     tokens = site.find_memory(here, job.shard, job.fence, life_s=job.service.token_life_s)
-    is_once = call.method not in job.service.idempotent_methods
-    if is_once:
+    is_unrepeatable = call.method not in job.service.idempotent_methods
+    if is_unrepeatable:
         token_refusal = await _check_token(here, job, tokens)
         if token_refusal is not None:
             return token_refusal
     fingerprint = _compute_fingerprint(job)
     if quarantine.is_quarantined(here.quarantined, fingerprint, here.now()):
         return exchange.Completion(result=outcome.refuse(outcome.Reason.QUARANTINED))
-    answer = await _admit(here, call)
-    if answer.ticket is None:
-        return _refuse_admission(answer)
-    # From here to the beginning of the flight nothing waits, so that a release of the shard
-    # either sees the flight or has taken the grant away before.
+    admitted = await _admit(here, call)
+    if admitted.ticket is None:
+        return _refuse_admission(admitted)
+    # Nothing is awaited between this check and the start of the flight, so a release of the shard
+    # either sees the flight or has revoked the grant before.
     if not job.is_granted() or not target.is_up(here.target):
-        _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
+        _end_admission(here, admitted.ticket, 0.0, limit.Reply.ABANDONED)
         return exchange.Completion(result=outcome.refuse(outcome.Reason.LEASE_LAPSED))
-    if is_once:
+    if is_unrepeatable:
         found = token.begin(tokens, call.token or "", key=_find_key(job), now=here.now())
         if found.standing is not token.Standing.FRESH:
-            _end_admission(here, answer.ticket, 0.0, limit.Reply.ABANDONED)
+            _end_admission(here, admitted.ticket, 0.0, limit.Reply.ABANDONED)
             if found.standing is token.Standing.IN_PROGRESS:
-                # A resend overtook this one while it waited for admission.
-                return await run(here, job, gate)
+                # A resend was admitted first while this request waited for admission.
+                return await run(here, job, filter_reply)
             return _refuse_token(here, job, tokens, found)
-    return await _make_attempt(here, job, tokens, fingerprint, answer.ticket, gate, is_once=is_once)
+    return await _make_attempt(
+        here,
+        job,
+        tokens,
+        fingerprint,
+        admitted.ticket,
+        filter_reply,
+        is_unrepeatable=is_unrepeatable,
+    )
 
 
 async def _make_attempt(
@@ -111,17 +120,17 @@
     tokens: token_memory.Memory,
     fingerprint: identity.Fingerprint,
     ticket: limit.Ticket,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
     *,
-    is_once: bool,
+    is_unrepeatable: bool,
 ) -> exchange.Completion:
-    """Make the attempt, and learn from it however it ends."""
+    """Make the attempt, and record its result however it ends."""
     started_s = here.now()
     flight = site.begin_flight(here, job.shard, fingerprint)
     attempt_result = attempts.AttemptResult()
     completion = exchange.Completion(result=outcome.unknown(outcome.Reason.CALLER_GONE))
     address = here.target.address or identity.Address("")
-    context = _build_context(here, job, tokens, gate, is_once=is_once)
+    context = _build_context(here, job, tokens, filter_reply, is_unrepeatable=is_unrepeatable)
     try:
         with flight.scope:
             await attempts.run(context, job.call, job.caller, here.now, attempt_result)
@@ -129,7 +138,7 @@
     finally:
         _record_unconfirmed(here, job, attempt_result)
         site.end_flight(here, flight)
-        if is_once:
+        if is_unrepeatable:
             token.finish(
                 tokens,
                 job.call.token or "",
@@ -147,36 +156,42 @@
     here: site.Site,
     job: Job,
     tokens: token_memory.Memory,
-    gate: dispatch.FilterReply,
+    filter_reply: dispatch.FilterReply,
     *,
-    is_once: bool,
+    is_unrepeatable: bool,
 ) -> attempts.AttemptContext:
-    def relay(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+    """Return an attempt's context; its filter adds the outcome and the next token to the reply."""
+
+    def filter_target_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         if wire.find_header(headers, front.OUTCOME_HEADER) == b"not-run":
             return None
         answered = outcome.Outcome(verdict=outcome.Verdict.ANSWERED, status=status)
-        kept = [pair for pair in headers if not pair[0].startswith(front.HEADER_PREFIX)]
+        kept_headers = [pair for pair in headers if not pair[0].startswith(front.HEADER_PREFIX)]
         next_token = (front.TOKEN_HEADER, issue(here, job, tokens))
-        return gate(
+        return filter_reply(
             status,
-            [*dispatch.filter_headers(kept), *front.build_outcome_headers(answered), next_token],
+            [
+                *dispatch.filter_headers(kept_headers),
+                *front.build_outcome_headers(answered),
+                next_token,
+            ],
         )
 
     fence = (front.FENCE_HEADER, f"{job.shard}:{job.fence}".encode())
-    until = (front.GRANT_UNTIL_HEADER, str(site.tell_grant_end_ms(here)).encode())
+    grant_until = (front.GRANT_UNTIL_HEADER, str(site.tell_grant_end_ms(here)).encode())
     return attempts.AttemptContext(
         pool=job.connections,
         address=here.target.address or identity.Address(""),
-        extra_headers=[*list_extra(job.call, here.now()), fence, until],
-        filter_reply=relay,
+        extra_headers=[*list_extra(job.call, here.now()), fence, grant_until],
+        filter_reply=filter_target_reply,
         p99_s=straggler.read_quantile(here.books[job.service.name], 0.99),
-        max_idle_s=MAX_IDLE_ONCE_S if is_once else None,
+        max_idle_s=MAX_IDLE_UNREPEATABLE_S if is_unrepeatable else None,
         correlate=functools.partial(_correlate, job.call.request_id.encode()),
     )
 
 
 def _correlate(request_id: bytes, headers: exchange.Headers) -> correlation.Correlation:
-    """Return which request an answer names; a target need not name any."""
+    """Return whether a reply names the request; a target need not name any."""
     found = wire.find_header(headers, front.REQUEST_ID_HEADER)
     if found is None:
         return correlation.Correlation.UNNAMED
@@ -186,7 +201,7 @@
 
 
 def list_extra(call: exchange.Call, now_s: float) -> exchange.Headers:
-    """Return the headers that go with a request at each hop.
+    """Return the headers that are added to a request at each hop.
 
     :param call: the request.
     :param now_s: the time in seconds.
@@ -217,9 +232,9 @@
 async def _check_token(
     here: site.Site, job: Job, tokens: token_memory.Memory
 ) -> exchange.Completion | None:
-    """Return why the request may not run, or ``None`` if its token is fresh.
+    """Return the refusal of a request, or ``None`` if its token is fresh.
 
-    A resend that arrives while the first request runs waits for its outcome.
+    A resend that arrives while the first request is running waits for its outcome.
     """
     if job.call.token is None:
         headers = [(front.TOKEN_HEADER, issue(here, job, tokens))]
@@ -242,6 +257,7 @@
 def _refuse_token(
     here: site.Site, job: Job, tokens: token_memory.Memory, found: token.Finding
 ) -> exchange.Completion:
+    """Return the refusal for a token that is not fresh, with a fresh token for the caller."""
     headers = [(front.TOKEN_HEADER, issue(here, job, tokens))]
     if found.used is not None:
         return exchange.Completion(result=found.used, headers=headers)
@@ -251,25 +267,26 @@
 
 async def _admit(here: site.Site, call: exchange.Call) -> limit.Decision:
     """Wait for admission within the deadline."""
-    answer = limit.admit(here.admission, now=here.now(), deadline=call.deadline_at_s)
-    if answer.admission is not limit.Admission.WAIT or answer.ticket is None:
-        return answer
-    event = here.admitted[answer.ticket] = trio.Event()
+    admitted = limit.admit(here.admission, now=here.now(), deadline=call.deadline_at_s)
+    if admitted.admission is not limit.Admission.WAIT or admitted.ticket is None:
+        return admitted
+    event = here.admitted[admitted.ticket] = trio.Event()
     is_woken = False
     try:
         with trio.move_on_after(max(call.deadline_at_s - here.now(), 0)):
             await event.wait()
-            is_woken = answer.ticket in here.admission.running
+            is_woken = admitted.ticket in here.admission.running
     finally:
-        here.admitted.pop(answer.ticket, None)
+        here.admitted.pop(admitted.ticket, None)
         if not is_woken:
-            _cancel_admission(here, answer.ticket)
+            _cancel_admission(here, admitted.ticket)
     if is_woken:
-        return limit.Decision(admission=limit.Admission.RUN, ticket=answer.ticket)
+        return limit.Decision(admission=limit.Admission.RUN, ticket=admitted.ticket)
     return limit.Decision(admission=limit.Admission.REFUSE, cause=limit.Cause.DEADLINE)
 
 
 def _cancel_admission(here: site.Site, ticket: limit.Ticket) -> None:
+    """Withdraw a request from the queue, or release it if it was admitted meanwhile."""
     if ticket in here.admission.running:
         _end_admission(here, ticket, 0.0, limit.Reply.ABANDONED)
     else:
@@ -279,34 +296,36 @@
 def _end_admission(
     here: site.Site, ticket: limit.Ticket, latency_s: float, reply: limit.Reply
 ) -> None:
+    """Release an admitted request, and wake the requests that may run next."""
     if ticket not in here.admission.running:
-        # The target was replaced meanwhile, and admission began anew with it.
+        # The target was replaced since, which reset admission.
         return
     woken = limit.release(here.admission, ticket, now=here.now(), latency_s=latency_s, reply=reply)
     site.wake_admitted(here, woken)
 
 
-def _refuse_admission(answer: limit.Decision) -> exchange.Completion:
-    reason = ADMISSION_REASONS.get(answer.cause, outcome.Reason.QUEUE_FULL)
-    seconds = max(1, round(answer.retry_after_s))
+def _refuse_admission(refused: limit.Decision) -> exchange.Completion:
+    reason = ADMISSION_REASONS.get(refused.cause, outcome.Reason.QUEUE_FULL)
+    seconds = max(1, round(refused.retry_after_s))
     headers = [(b"retry-after", str(seconds).encode())]
     return exchange.Completion(result=outcome.refuse(reason), headers=headers)
 
 
 def _conclude(attempt_result: attempts.AttemptResult) -> exchange.Completion:
+    """Return the completion of a request at the local target."""
     if not attempt_result.is_ended:
         return _conclude_cancelled(attempt_result)
     if attempt_result.attempt.step is not dispatch.Step.WITHHELD:
         return attempts.conclude(attempt_result)
-    said = wire.find_header(attempt_result.attempt.headers, front.REASON_HEADER) or b""
-    reason = TARGET_REASONS.get(said, outcome.Reason.TARGET_SHED)
+    reported = wire.find_header(attempt_result.attempt.headers, front.REASON_HEADER) or b""
+    reason = TARGET_REASONS.get(reported, outcome.Reason.TARGET_SHED)
     return exchange.Completion(
         result=outcome.refuse(reason), is_body_open=attempt_result.attempt.is_body_open
     )
 
 
 def _conclude_cancelled(attempt_result: attempts.AttemptResult) -> exchange.Completion:
-    """Return the end of a request that was cancelled because the node lost its lease."""
+    """Return the completion of a request that was cancelled because the node lost its lease."""
     attempt = attempt_result.attempt
     reason = outcome.Reason.LEASE_LAPSED
     return exchange.Completion(
@@ -317,7 +336,7 @@
 
 
 def _record_unconfirmed(here: site.Site, job: Job, attempt_result: attempts.AttemptResult) -> None:
-    """Keep the shard for as long as the target may still run a request that was given up."""
+    """Keep the shard for as long as the target may still run a request that was abandoned."""
     attempt = attempt_result.attempt
     if not attempt.is_sent or attempt.head_at_s is not None:
         return
@@ -330,7 +349,7 @@
 def _find_recorded_outcome(
     attempt_result: attempts.AttemptResult, completion: exchange.Completion
 ) -> outcome.Outcome:
-    """Return what a resend shall learn: an answer counts although its caller has gone."""
+    """Return the outcome to report to a resend; a reply counts even if its caller has left."""
     attempt = attempt_result.attempt
     if not attempt.is_sent or _is_refused_by_target(attempt):
         return outcome.refuse(completion.result.reason)
@@ -340,7 +359,7 @@
 
 
 def _is_refused_by_target(attempt: dispatch.Attempt) -> bool:
-    """Return whether the target itself said that it did not run the request."""
+    """Return whether the target itself reported that it did not run the request."""
     return wire.find_header(attempt.headers, front.OUTCOME_HEADER) == b"not-run"
 
 
@@ -351,7 +370,7 @@
     ticket: limit.Ticket,
     started_s: float,
 ) -> None:
-    """Feed admission, the target's state, latency and load with the result."""
+    """Update admission, the target's state, latencies and load with the result."""
     now_s = here.now()
     attempt = attempt_result.attempt
     head_s = now_s if attempt.head_at_s is None else attempt.head_at_s
@@ -361,8 +380,10 @@
     if attempt.head_at_s is not None:
         target.record_reply(here.target, now_s)
     if reply in (limit.Reply.OK, limit.Reply.TIMED_OUT):
-        book = here.books[job.service.name]
-        straggler.record(book, here.node, latency_s, is_complete=reply is limit.Reply.OK)
+        service_latencies = here.books[job.service.name]
+        straggler.record(
+            service_latencies, here.node, latency_s, is_complete=reply is limit.Reply.OK
+        )
         if job.service.is_keyed:
             accounting.record(here.account, job.shard, job.call.key, latency_s, now_s)
     if reply is limit.Reply.TIMED_OUT and target.record_miss(here.target, now_s):
@@ -374,11 +395,12 @@
 
 
 def _classify(attempt_result: attempts.AttemptResult) -> limit.Reply:
+    """Return what an attempt tells the concurrency limit."""
     attempt = attempt_result.attempt
     if _is_refused_by_target(attempt):
-        said = wire.find_header(attempt.headers, front.REASON_HEADER)
-        # A stale fencing token says nothing about the target's load.
-        return limit.Reply.ABANDONED if said == b"stale-fence" else limit.Reply.SHED
+        reported = wire.find_header(attempt.headers, front.REASON_HEADER)
+        # A stale fencing token is not a sign of load.
+        return limit.Reply.ABANDONED if reported == b"stale-fence" else limit.Reply.SHED
     if attempt.head_at_s is not None:
         return limit.Reply.OK
     if attempt_result.is_timed_out and attempt.is_sent:
@@ -397,7 +419,7 @@
 
 
 def _is_connection_lost(attempt_result: attempts.AttemptResult) -> bool:
-    """Return whether the target's end of the connection broke before an answer."""
+    """Return whether the target broke the connection before its reply was complete."""
     attempt = attempt_result.attempt
     is_broken = attempt.step in (
         dispatch.Step.LOST_BEFORE_REPLY,
@@ -418,13 +440,14 @@
     address: identity.Address,
     fingerprint: identity.Fingerprint,
 ) -> None:
-    """Find out whether the target died under a request whose connection broke."""
+    """Check whether the target crashed while running a request whose connection broke."""
     site.note_lost(here, fingerprint, here.now())
     opened = await pool.open_new(job.connections, address)
     if opened.value_or(None) is not None:
         await pool.discard(job.connections, address, opened.unwrap())
         return
-    # A refusal is proof on the same VM; whatever the reason, nothing can be sent there now.
+    # On the same VM a refused connection proves a crash; whatever the reason, nothing can be sent
+    # there now.
     count = site.note_crash(here, here.now())
     decision.record(
         log,
@@ -439,6 +462,7 @@
 
 
 def _mark_target_down(here: site.Site) -> None:
+    """Pause admission until the target is up again."""
     decision.record(
         log, logging.WARNING, "target-down", target=here.target.address, reason=here.target.reason
     )
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -1,4 +1,4 @@
-"""A request where it enters the mesh: its route, the target that gets it, and repeats elsewhere."""
+"""Handles requests where they enter the mesh: routing, choice of target, and retries."""
 
 import collections.abc
 import dataclasses
@@ -26,20 +26,21 @@
 
 log = logging.getLogger(__name__)
 
-# A ledger that has just changed reaches all nodes within a few round trips to the store.
+# Base delay before a request is sent again for a key that moved. A changed ledger reaches all nodes
+# within a few round trips to the store.
 MOVED_RETRY_DELAY_S = 0.03
 MAX_ATTEMPTS = 6
-# The request has reached a target, which did not run it. Sending it on is a repeat like any other,
-# or targets that shed would be asked several times as often as they can bear.
+# The request reached a target, which did not run it. Another attempt is charged to the retry budget
+# like any other: otherwise, targets that shed load would get a multiple of the load they can bear.
 TARGET_REFUSALS = frozenset({outcome.Reason.TARGET_SHED, outcome.Reason.STALE_FENCE})
-# A request for a key may find it elsewhere, or back in a moment.
+# Reasons to retry a request for a key: the key may have a new owner, or be served again shortly.
 RETRYABLE_FOR_KEY = frozenset(
     {outcome.Reason.MOVED, outcome.Reason.STALE_FENCE, outcome.Reason.CONNECTION_LOST}
 )
-# All nodes of the service have been told of a request that crashes targets, and nobody waits for
-# one whose caller has left.
+# Reasons that end the retries. Every node of the service refuses a request that is quarantined for
+# crashing targets, and nobody waits for the reply when the caller has left.
 FINAL_REASONS = frozenset({outcome.Reason.QUARANTINED, outcome.Reason.CALLER_GONE})
-# The target would refuse the next request as well.
+# Refusals that say that the target would refuse the next request as well.
 LASTING_REFUSALS = frozenset(
     {
         outcome.Reason.QUEUE_FULL,
@@ -50,17 +51,18 @@
         outcome.Reason.BEHIND,
     }
 )
-# Gives a node that has just lost a target time to learn of it.
+# Retry delay announced to callers, in which a node can detect that it has just lost a target.
 RETRY_AFTER_S = 0.4
 RETRY_JITTER = 0.6
-# Tells callers that a request has not run and never will.
+# Tells callers that a request has not run and will not run later.
 NOT_RUN_STATUS = 503
+# The outcome of a request whose caller had left before it was read.
 ABANDONED = outcome.unknown(outcome.Reason.CALLER_GONE)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Origin:
-    """What requests that enter the mesh here share."""
+    """State shared by the requests that enter the mesh at this node."""
 
     node: node_module.Node
     delivery: delivery.Delivery
@@ -70,7 +72,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestHead:
-    """What the router needs of a request's head. ``budget_s`` is the caller's time budget."""
+    """The parts of a request's head that routing needs.
+
+    ``timeout_s`` is the caller's own time limit in seconds.
+    """
 
     request_id: str
     host: str
@@ -79,11 +84,12 @@
 
 
 def resolve(origin: Origin, call: exchange.Call, head: RequestHead) -> outcome.Outcome | None:
-    """Give a request its route's service, rules and deadline; return why it is refused, if it is.
+    """Set a request's service, rules and deadline from its route.
 
-    :param origin: the state.
-    :param call: the request, as read.
-    :param head: what its head says.
+    :param origin: the state of this entry point.
+    :param call: the request, as parsed.
+    :param head: the parts of its head that routing needs.
+    :return: the refusal, or ``None`` if the request may proceed.
     """
     node = origin.node
     config = origin.current.traffic
@@ -116,12 +122,13 @@
 async def handle(
     origin: Origin, call: exchange.Call, caller: exchange.Caller, head: RequestHead
 ) -> outcome.Outcome:
-    """Answer a request.
+    """Route a request to targets until one answers, and reply to the caller.
 
-    :param origin: the state.
-    :param call: the request, as read.
-    :param caller: who gets the answer.
-    :param head: what its head says.
+    :param origin: the state of this entry point.
+    :param call: the request, as parsed.
+    :param caller: receives the reply.
+    :param head: the parts of its head that routing needs.
+    :return: the outcome, which has been logged and counted.
     """
     started_at = origin.node.now()
     if _is_abandoned(origin.node, caller):
@@ -143,7 +150,7 @@
     if is_caller_gone:
         result = outcome.unknown(outcome.Reason.CALLER_GONE)
     elif not is_reply_begun and result.reason is not outcome.Reason.CALLER_GONE:
-        # Callers that were refused together must not come back together.
+        # Jitter keeps callers that were refused at the same time from retrying at the same time.
         jitter = 1.0 + RETRY_JITTER * (origin.node.draw() - 0.5)
         await send_refusal(caller, result, completion.retry_after_s * jitter)
     _record(origin, call, result, started_at, tried, is_reply_begun=is_reply_begun)
@@ -151,9 +158,10 @@
 
 
 def _is_abandoned(node: node_module.Node, caller: exchange.Caller) -> bool:
-    """Return whether a request was read so late that its caller has left.
+    """Return whether the event loop lags and the caller has already left.
 
-    Its deadline counts from when it was read, because nothing says when it was sent.
+    The deadline cannot show this: it counts from when the request was received, because no header
+    says when it was sent.
     """
     return lag.is_lagging(node.loop_lag) and caller.is_gone()
 
@@ -164,38 +172,41 @@
     caller: exchange.Caller,
     work: collections.abc.Callable[[], collections.abc.Awaitable[delivery.Completion]],
 ) -> tuple[delivery.Completion, bool]:
-    """Run until the deadline or until the caller leaves; return the end and whether it has left.
+    """Run until the deadline or until the caller leaves.
+
+    A non-idempotent request whose body is still arriving is not cancelled when the caller leaves:
+    its target may have received part of it already.
 
-    An order whose body is still to come isn't ended: its target may have part of it already.
+    :return: the completion, and whether the caller has left.
     """
     completion = delivery.Completion(result=outcome.unknown(outcome.Reason.DEADLINE))
-    is_gone = False
+    is_caller_gone = False
     async with trio.open_nursery() as nursery:
-        # Trio's clock need not be the node's.
+        # The node's clock may differ from Trio's clock.
         remaining_s = max(0.0, call.deadline_at_s - node.now())
         nursery.cancel_scope.deadline = trio.current_time() + remaining_s
 
         async def watch() -> None:
-            nonlocal is_gone
+            nonlocal is_caller_gone
             await caller.wait_gone()
-            is_gone = True
+            is_caller_gone = True
             nursery.cancel_scope.cancel()
 
         if call.is_body_buffered or (call.rules is not None and call.rules.is_repeatable):
             nursery.start_soon(watch)
         completion = await work()
         nursery.cancel_scope.cancel()
-    return completion, is_gone
+    return completion, is_caller_gone
 
 
 async def _try_all(
     origin: Origin, call: exchange.Call, caller: exchange.Caller, tried: list[identity.NodeId]
 ) -> delivery.Completion:
-    """Try targets until one answers or nothing more may be done."""
+    """Try targets until one answers or no further attempt is allowed."""
     rules = call.rules
     assert rules is not None
     node = origin.node
-    bucket = budget.find_budget(node.budget, call.service)
+    retry_budget = budget.find_budget(node.budget, call.service)
     unknown_count = 0
     excluded: set[identity.NodeId] = set()
     completion = delivery.Completion(
@@ -222,9 +233,9 @@
             may_repeat = rules.is_repeatable and unknown_count < rules.max_attempts
             if not may_repeat or not _has_time(origin, call, name):
                 break
-            if not budget.spend(bucket):
+            if not budget.spend(retry_budget):
                 break
-        if completion.result.reason in TARGET_REFUSALS and not budget.spend(bucket):
+        if completion.result.reason in TARGET_REFUSALS and not budget.spend(retry_budget):
             break
         excluded.add(name)
         if rules.key_slot is not None:
@@ -235,12 +246,14 @@
             if not is_new_owner:
                 await node_module.pause(node, MOVED_RETRY_DELAY_S * (attempt_index + 1))
     if unknown_count and completion.result.verdict is outcome.Verdict.NOT_RUN:
-        # An earlier attempt may have run, so that the refusal of the last one is not the truth.
+        # An earlier attempt may have run, so the refusal of the last one does not show that the
+        # request has not run.
         completion.result = outcome.unknown(outcome.Reason.CONNECTION_LOST)
     return completion
 
 
 def _has_time(origin: Origin, call: exchange.Call, name: identity.NodeId) -> bool:
+    """Return whether a target can be expected to answer before the request's deadline."""
     view = node_module.read_view(origin.node, name)
     return origin.node.now() + view.work_s < call.deadline_at_s
 
@@ -253,19 +266,25 @@
     *,
     owner: identity.NodeId | None,
 ) -> identity.NodeId | None:
+    """Return the node to try next, or ``None`` if none is left.
+
+    ``excluded`` are the nodes that were tried; ``owner`` is a key's owner as named by another node.
+    """
     node = origin.node
     if rules.key_slot is not None:
         return _find_owner(node, call.service, rules.key_slot, owner=owner)
     candidates = {
-        one.node: one
-        for one in node_module.list_open_members(node, call.service)
-        if one.node not in excluded
+        candidate.node: candidate
+        for candidate in node_module.list_open_members(node, call.service)
+        if candidate.node not in excluded
     }
     now = node.now()
     views = {name: node_module.read_view(node, name) for name in candidates}
     if excluded and all(view.avoid_until > now for view in views.values()):
         return None
-    same_zone = {name for name, one in candidates.items() if one.zone == node.place.zone}
+    same_zone = {
+        name for name, candidate in candidates.items() if candidate.zone == node.place.zone
+    }
     return selection.choose(views, same_zone, now, node.draw)
 
 
@@ -276,7 +295,7 @@
     *,
     owner: identity.NodeId | None,
 ) -> identity.NodeId | None:
-    """Return where a key is served: at the node that another one has named, or by the ledger."""
+    """Return the node that serves a key: ``owner`` if another node named it, else the ledger's."""
     versioned_ledger = node.ledgers.get(service)
     if versioned_ledger is None:
         return None
@@ -287,10 +306,11 @@
 async def _try_one(
     origin: Origin, call: exchange.Call, caller: exchange.Caller, name: identity.NodeId
 ) -> delivery.Completion:
+    """Try a request at one node, this one or another, and update what is known of its target."""
     node = origin.node
     view = node_module.read_view(node, name)
     if call.rules is not None and call.rules.key_slot is not None:
-        # Only this node's target holds the key, so that nothing but waiting is left.
+        # No other target holds the key, so a refusal is all that remains until this one recovers.
         if node.now() < view.full_until:
             return delivery.Completion(
                 result=outcome.refuse(outcome.Reason.QUEUE_FULL), retry_after_s=RETRY_AFTER_S
@@ -323,6 +343,7 @@
     name: identity.NodeId,
     view: selection.TargetView,
 ) -> delivery.Completion:
+    """Forward a request to another node, and pass that node's reply to the caller."""
     node = origin.node
     peer = node.members.get(name)
     if peer is None:
@@ -331,7 +352,7 @@
         )
     refusals: list[delivery.Completion] = []
 
-    def take_head(status: int, headers: exchange.Headers) -> exchange.Headers | None:
+    def filter_hop_reply(status: int, headers: exchange.Headers) -> exchange.Headers | None:
         hop_headers.record_load(view, headers, node.now())
         hop_headers.record_version(node, headers, name)
         reason = wire.find_header(headers, hop_headers.REFUSED_HEADER)
@@ -345,7 +366,7 @@
         address=peer.address,
         extra_headers=hop_headers.build_headers(call, node.now())
         + hop_headers.build_version_header(node),
-        filter_reply=take_head,
+        filter_reply=filter_hop_reply,
         p99_s=attempt.TYPICAL_P99_S,
     )
     attempt_result = attempt.AttemptResult()
@@ -353,7 +374,7 @@
     if refusals:
         return refusals[0]
     completion = attempt.conclude(attempt_result)
-    # Answers to this node's own callers share its link with those of its target.
+    # Replies to this node's callers share its uplink with the replies of its target.
     link.record_sent(node.admission.uplink, attempt_result.attempt.body_bytes, node.now())
     if attempt.suggests_peer_loss(attempt_result):
         selection.record_failure(view, node.now())
@@ -365,11 +386,12 @@
 async def serve_hop(
     origin: Origin, call: exchange.Call, caller: exchange.Caller
 ) -> outcome.Outcome:
-    """Answer a request that another node has sent here.
+    """Run a request that another node forwarded at this node's target, and reply to that node.
 
-    :param origin: the state.
+    :param origin: the state of this node.
     :param call: the request, with its rules.
     :param caller: the other node.
+    :return: the outcome, which has been logged and counted.
     """
     node = origin.node
     started_at = node.now()
@@ -405,13 +427,16 @@
     completion: delivery.Completion,
     started_at: float,
 ) -> outcome.Outcome:
-    """Tell another node that its request was not answered, and why."""
+    """Refuse a request of another node, with the reason and this node's load in the headers."""
     node = origin.node
     refusal = f"{completion.result.verdict.value}:{completion.result.reason.value}"
-    extra = [(hop_headers.REFUSED_HEADER, refusal.encode()), *hop_headers.build_load_headers(node)]
+    extra_headers = [
+        (hop_headers.REFUSED_HEADER, refusal.encode()),
+        *hop_headers.build_load_headers(node),
+    ]
     if completion.owner is not None:
-        extra.append((hop_headers.OWNER_HEADER, completion.owner.encode()))
-    await send_refusal(caller, completion.result, completion.retry_after_s, extra)
+        extra_headers.append((hop_headers.OWNER_HEADER, completion.owner.encode()))
+    await send_refusal(caller, completion.result, completion.retry_after_s, extra_headers)
     _record(origin, call, completion.result, started_at, [node.place.node])
     return completion.result
 
@@ -422,12 +447,12 @@
     retry_after_s: float,
     extra_headers: exchange.Headers | None = None,
 ) -> None:
-    """Tell the caller that its request was not answered.
+    """Reply to a caller whose request no target answered.
 
-    :param caller: who gets the answer.
-    :param result: why.
-    :param retry_after_s: when to come back; 0 for no hint.
-    :param extra: further headers.
+    :param caller: receives the reply.
+    :param result: the outcome, with the reason.
+    :param retry_after_s: seconds to announce in ``retry-after``; 0 for no header.
+    :param extra_headers: further headers.
     """
     body = f"{result.reason.value}\n".encode()
     headers = [
@@ -439,7 +464,7 @@
         headers.append((hop_headers.RETRY_AFTER_HEADER, f"{retry_after_s:.3f}".encode()))
     status = result.status
     if result.verdict is outcome.Verdict.NOT_RUN and status not in (400, 404):
-        # Whatever kept the request from running, this status promises that it has not run.
+        # Whatever kept the request from running, callers rely on this status for "not run".
         status = NOT_RUN_STATUS
     if result.verdict is not outcome.Verdict.NOT_RUN and status == NOT_RUN_STATUS:
         status = 502
@@ -456,12 +481,15 @@
     *,
     is_reply_begun: bool = False,
 ) -> None:
-    """Log and count the end of a request; ``is_told`` says that an answer to it had begun."""
+    """Log and count a finished request.
+
+    ``is_reply_begun`` says whether a part of a target's reply had been sent to the caller.
+    """
     node = origin.node
     is_answered = result.verdict is outcome.Verdict.ANSWERED
-    took_s = node.now() - started_at
+    elapsed_s = node.now() - started_at
     counters.count(
-        node.request_counters, call.service, result.verdict.value, result.reason.value, took_s
+        node.request_counters, call.service, result.verdict.value, result.reason.value, elapsed_s
     )
     if is_answered and not log.isEnabledFor(logging.DEBUG):
         return
@@ -478,7 +506,7 @@
         status=result.status,
         told=is_reply_begun,
         tried=",".join(tried),
-        took_ms=int(took_s * 1000),
+        took_ms=int(elapsed_s * 1000),
         ledger=versioned_ledger.version if versioned_ledger is not None else None,
         config=node.config,
     )
--- a/tests/request/test_cut_answers.py
+++ b/tests/request/test_cut_answers.py
@@ -1,4 +1,4 @@
-"""Answers that break off on their way from another node, and what the caller gets."""
+"""Tests of replies from other nodes that break off, and of what the caller gets."""
 
 import collections.abc
 import dataclasses
@@ -16,7 +16,7 @@
 
 REQUEST = b"GET /orders/1 HTTP/1.1\r\nHost: x\r\n\r\n"
 SMALL = 1000
-# More than is held back, so that the caller gets the beginning before the end has come.
+# Larger than the reply buffer, so that the caller gets the beginning before the reply is complete.
 LARGE = 100_000
 SWEEP_S = 0.25
 
@@ -64,14 +64,14 @@
 
 
 def build_mesh(nursery: trio.Nursery, scripts: list[Script]) -> origin.Origin:
-    """Return a node whose peers answer requests by the scripts in turn, and no pings."""
+    """Return a node whose peers answer requests by the scripts in turn, and ignore pings."""
     entry = test_origin.build_origin(9.0)
-    left = list(scripts)
+    remaining = list(scripts)
 
     async def serve(stream: trio.abc.Stream) -> None:
         first = bytes(await stream.receive_some())
         if reachability.PING_PATH.encode() not in first:
-            await left.pop(0)(stream)
+            await remaining.pop(0)(stream)
 
     async def connect(_: str) -> trio.abc.Stream:
         ours, theirs = trio.testing.memory_stream_pair()
@@ -82,7 +82,7 @@
     return entry
 
 
-async def watch(entry: origin.Origin) -> None:
+async def check_peers(entry: origin.Origin) -> None:
     state = reachability.Monitor(node=entry.node, peers=entry.peers, connect=entry.peers.connect)
     while True:
         await trio.sleep(SWEEP_S)
@@ -93,7 +93,7 @@
 async def ask(
     monkeypatch: pytest.MonkeyPatch, scripts: list[Script], *, is_repeatable: bool
 ) -> tuple[int, int]:
-    """Return the status that a caller gets and the size of the body; 0 if there is no answer."""
+    """Return the status that a caller gets and the size of the body; 0 if there is no reply."""
     monkeypatch.setattr(origin, "resolve", lambda *_: None)
     head = origin.RequestHead(request_id="r1", host="x", timeout_s=None, key_slot=None)
 
@@ -122,7 +122,7 @@
             coalesces_head=True,
         )
         nursery.start_soon(functools.partial(front.serve, listener, far))
-        nursery.start_soon(watch, entry)
+        nursery.start_soon(check_peers, entry)
         await near.send_all(REQUEST)
         while True:
             event = http.next_event()
@@ -143,50 +143,59 @@
 
 
 @pytest.mark.parametrize("fail", [break_off, stall])
-async def test_answer_that_was_held_back_is_fetched_elsewhere(
+async def test_request_with_a_buffered_reply_is_retried(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, fail: Script
 ) -> None:
-    """Issue 15: connections were closed without an answer when a hop broke off after the head.
+    """Guards against closing the caller's connection when a hop breaks off after the reply's head.
 
-    What was held back has not begun at the caller, so that the request can be sent again.
+    Issue 15. A buffered reply has not begun at the caller, so the request can be retried.
     """
-    got = await ask(monkeypatch, [fail, answer], is_repeatable=True)
-    assert got == (200, SMALL)
+    received = await ask(monkeypatch, [fail, answer], is_repeatable=True)
+    assert received == (200, SMALL)
 
 
 @pytest.mark.parametrize("fail", [break_off, stall])
-async def test_order_whose_answer_was_held_back_is_told_so(
+async def test_broken_reply_to_a_non_idempotent_request_is_reported(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, fail: Script
 ) -> None:
-    """Issue 15: connections were closed without an answer when a hop broke off after the head."""
+    """Guards against a missing reply when the hop of a non-idempotent request breaks off.
+
+    Issue 15: the caller's connection was closed without a reply after the hop had sent the head.
+    """
     status, _ = await ask(monkeypatch, [fail], is_repeatable=False)
     assert status == 502
 
 
 @pytest.mark.parametrize(("script", "size"), [(answer_in_two_parts, LARGE), (answer_slowly, SMALL)])
-async def test_answer_under_way_survives_missed_pings(
+async def test_begun_reply_survives_missed_pings(
     monkeypatch: pytest.MonkeyPatch,
     autojump_clock: trio.testing.MockClock,
     script: Script,
     size: int,
 ) -> None:
-    """Issue 15: answers that had begun at their callers were cut when a busy node missed a ping."""
-    got = await ask(monkeypatch, [script], is_repeatable=True)
-    assert got == (200, size)
+    """Guards against cutting a reply that has begun at its caller when a busy node misses a ping.
+
+    Issue 15.
+    """
+    received = await ask(monkeypatch, [script], is_repeatable=True)
+    assert received == (200, size)
 
 
 @pytest.mark.parametrize(
     ("script", "is_caller_there", "is_passed_by"),
     [(answer, False, False), (break_off, True, False), (refuse_to_serve, True, True)],
 )
-async def test_node_is_passed_by_only_for_what_is_its_own(
+async def test_node_is_avoided_only_for_its_own_failures(
     nursery: trio.Nursery,
     autojump_clock: trio.testing.MockClock,
     script: Script,
     is_caller_there: bool,
     is_passed_by: bool,
 ) -> None:
-    """A caller that left, or a target that broke off, had a node's keys refused for 0.3 s."""
+    """Guards against avoiding a node because of its callers or its target.
+
+    A caller that left, or a target that broke off, had the node's keys refused for 0.3 s.
+    """
 
     async def take(*_: object) -> bool:
         return is_caller_there
@@ -203,10 +212,10 @@
 
 
 @pytest.mark.parametrize("joins_head", [True, False])
-async def test_answer_whose_beginning_was_cancelled_is_replaced_whole(joins_head: bool) -> None:
-    """A caller got the head of the first answer with the body of the second.
+async def test_cancelled_beginning_of_a_reply_is_replaced_completely(joins_head: bool) -> None:
+    """Guards against a reply with the head of one attempt and the body of the next.
 
-    The first one was given up in the turn in which its last byte came.
+    The first attempt was cancelled in the same scheduler step in which its last byte came.
     """
     near, far = trio.testing.memory_stream_pair()
     conn = wire.open_server(far)
@@ -220,25 +229,28 @@
         coalesces_head=joins_head,
     )
     caller = front.build_caller(front.Incoming(conn=conn, front=listener, max_body_bytes=1000))
-    kept = buffering.buffer_reply(caller)
+    buffered = buffering.buffer_reply(caller)
     with trio.CancelScope() as scope:
         scope.cancel()
-        await kept.reply(200, [(b"content-length", b"5"), (b"x-response-seal", b"first")])
-        await kept.write(b"first")
-        await kept.finish()
+        await buffered.reply(200, [(b"content-length", b"5"), (b"x-response-seal", b"first")])
+        await buffered.write(b"first")
+        await buffered.finish()
     assert scope.cancelled_caught and not caller.is_reply_begun()
-    await kept.reply(200, [(b"content-length", b"6"), (b"x-response-seal", b"second")])
-    assert await kept.write(b"second") and await kept.finish()
-    got = bytes(await near.receive_some())
-    assert b"x-response-seal: second" in got.lower()
-    assert got.endswith(b"\r\n\r\nsecond")
-    assert b"first" not in got
+    await buffered.reply(200, [(b"content-length", b"6"), (b"x-response-seal", b"second")])
+    assert await buffered.write(b"second") and await buffered.finish()
+    received = bytes(await near.receive_some())
+    assert b"x-response-seal: second" in received.lower()
+    assert received.endswith(b"\r\n\r\nsecond")
+    assert b"first" not in received
 
 
 @pytest.mark.parametrize("is_repeatable", [True, False])
-async def test_chunks_of_an_answer_override_its_length(
+async def test_chunked_reply_is_passed_on_without_content_length(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock, is_repeatable: bool
 ) -> None:
-    """The caller's connection was closed without an answer, as the length was passed on."""
-    got = await ask(monkeypatch, [answer_with_two_lengths], is_repeatable=is_repeatable)
-    assert got == (200, len(b"sixsix"))
+    """Guards against passing on Content-Length beside a chunked body.
+
+    The caller's connection was closed without a reply.
+    """
+    received = await ask(monkeypatch, [answer_with_two_lengths], is_repeatable=is_repeatable)
+    assert received == (200, len(b"sixsix"))
--- a/tests/request/test_refusals.py
+++ b/tests/request/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of a target that writes an earlier one once more on a kept connection."""
+"""Tests of a faulty target that sends an earlier refusal again on a reused connection."""
 
 import dataclasses
 import logging
@@ -15,24 +15,24 @@
 from ebonyvalve.request import delivery, exchange, hop_headers, origin, outcome
 from tests.request import test_origin
 
-# How long the faulty target takes between the extra answer and the real one.
+# Seconds between the faulty target's extra reply and the real one.
 WORK_S = 0.05
 
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """A target that refuses the ids in ``full`` once, and repeats refusals as ``when`` says.
+    """A target that refuses each of ``refused_ids`` once, and repeats refusals as ``when`` says.
 
-    ``ran`` lists the ids of requests that it began to run.
+    ``ran`` lists the ids of the requests that it started to run.
     """
 
     status: int = 503
     is_named: bool = True
     when: str = "before-answer"
-    full: set[str] = dataclasses.field(default_factory=set)
+    refused_ids: set[str] = dataclasses.field(default_factory=set)
     answer_headers: str = ""
-    # Written before all answers but the first on a connection.
-    strange: bytes = b""
+    # Sent before every reply but the first on a connection.
+    extra_reply: bytes = b""
     ran: list[str] = dataclasses.field(default_factory=list)
     opened: int = 0
     nursery: trio.Nursery
@@ -58,8 +58,8 @@
             if not isinstance(head, h11.Request):
                 return
             name = dict(head.headers)[dialect.REQUEST_ID].decode()
-            if name in self.full:
-                self.full.discard(name)
+            if name in self.refused_ids:
+                self.refused_ids.discard(name)
                 repeated = build_refusal(self.status, name if self.is_named else None)
                 is_twice = self.when == "with-refusal"
                 await stream.send_all(repeated * (2 if is_twice else 1))
@@ -71,7 +71,7 @@
             if self.when == "before-answer" and repeated:
                 await stream.send_all(repeated)
             if is_reused:
-                await stream.send_all(self.strange)
+                await stream.send_all(self.extra_reply)
             is_reused = True
             await trio.sleep(WORK_S)
             await stream.send_all(build_answer(name, self.answer_headers))
@@ -97,7 +97,7 @@
     async def finish() -> bool:
         return True
 
-    def find_gone() -> bool:
+    def is_gone() -> bool:
         return False
 
     return dataclasses.replace(
@@ -106,12 +106,12 @@
         write=write,
         finish=finish,
         wait_gone=trio.sleep_forever,
-        is_gone=find_gone,
+        is_gone=is_gone,
     )
 
 
 def build_entry(target: Target) -> origin.Origin:
-    """Return a node beside the faulty target, both of the service of orders."""
+    """Return a node of the orders service whose own target is the faulty one."""
     entry = test_origin.build_origin(2.0)
     node = entry.node
     node.place = dataclasses.replace(node.place, service=test_origin.ORDERS)
@@ -149,15 +149,15 @@
 
 
 async def ask(entry: origin.Origin, name: str) -> outcome.Outcome:
-    ended = await delivery.run(entry.delivery, build_order(name), build_caller())
-    return ended.result
+    completion = await delivery.run(entry.delivery, build_order(name), build_caller())
+    return completion.result
 
 
 @pytest.mark.parametrize("when", ["with-refusal", "idle", "before-answer"])
 @pytest.mark.parametrize("is_named", [True, False])
 @pytest.mark.parametrize("status", [503, 429, 421])
 @pytest.mark.parametrize("again", ["r1", "r2"])
-async def test_earlier_refusal_is_never_taken_for_that_of_a_request_that_runs(
+async def test_earlier_refusal_is_never_taken_for_that_of_a_running_request(
     nursery: trio.Nursery,
     autojump_clock: trio.testing.MockClock,
     again: str,
@@ -165,12 +165,14 @@
     is_named: bool,
     when: str,
 ) -> None:
-    """Callers were told "not run, try again" for orders that a target was running (REFUSED).
+    """Guards against reporting "not run" for an order that a target is running (REFUSED).
 
-    A target writes its refusal of an order once more on the kept connection, where the answer to
-    another order, or to the same one sent again, is expected.
+    The target sends its refusal of an order again on the reused connection, where the reply to
+    another order, or to a retry of the same one, is expected.
     """
-    target = Target(nursery=nursery, status=status, is_named=is_named, when=when, full={"r1"})
+    target = Target(
+        nursery=nursery, status=status, is_named=is_named, when=when, refused_ids={"r1"}
+    )
     entry = build_entry(target)
     first = await ask(entry, "r1")
     assert first.verdict is outcome.Verdict.NOT_RUN
@@ -178,29 +180,32 @@
     second = await ask(entry, again)
     assert target.ran == [again]
     assert second.verdict is not outcome.Verdict.NOT_RUN
-    # What can be told apart costs no answer.
+    # A refusal that is recognised as another request's does not cost the reply.
     assert second.verdict is outcome.Verdict.ANSWERED
 
 
 @pytest.mark.parametrize("status", [503, 429, 421, 400, 404, 500])
-async def test_answer_without_a_name_is_believed_only_on_a_new_connection(
+async def test_reply_without_a_request_id_is_trusted_only_on_a_new_connection(
     nursery: trio.Nursery,
     autojump_clock: trio.testing.MockClock,
     caplog: pytest.LogCaptureFixture,
     status: int,
 ) -> None:
-    """Targets name the request, so that an answer without a name may be that to any earlier one."""
-    strange = build_refusal(status, None)
+    """Guards against accepting a reply that names no request on a reused connection.
+
+    Targets name the request in their replies; one without a name may belong to any earlier request.
+    """
+    unnamed_reply = build_refusal(status, None)
     if status in (404, 500):
-        strange = strange.replace(b"X-Not-Executed: 1\r\n", b"")
-    target = Target(nursery=nursery, strange=strange)
+        unnamed_reply = unnamed_reply.replace(b"X-Not-Executed: 1\r\n", b"")
+    target = Target(nursery=nursery, extra_reply=unnamed_reply)
     entry = build_entry(target)
     caplog.set_level(logging.INFO)
     assert (await ask(entry, "r1")).verdict is outcome.Verdict.ANSWERED
     assert (await ask(entry, "r2")).verdict is outcome.Verdict.UNKNOWN
     assert target.ran == ["r1", "r2"]
-    # Operators see why the outcome is unknown.
-    assert [one.message for one in caplog.records if one.message == "answer-spoiled"]
+    # The log shows operators why the outcome is unknown.
+    assert [record.message for record in caplog.records if record.message == "answer-spoiled"]
     assert (await ask(entry, "r3")).verdict is outcome.Verdict.ANSWERED
     assert target.opened == 2
 
@@ -210,8 +215,8 @@
     autojump_clock: trio.testing.MockClock,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An order ran at a second instance while the first was running it (TWICE)."""
-    target = Target(nursery=nursery, is_named=False, full={"r1"})
+    """Guards against an order that runs at a second target while the first runs it (TWICE)."""
+    target = Target(nursery=nursery, is_named=False, refused_ids={"r1"})
     other = Target(nursery=nursery)
     entry = build_entry(target)
     node = entry.node
@@ -226,23 +231,23 @@
     assert other.ran == []
 
 
-async def test_target_can_not_speak_for_its_node(
+async def test_target_cannot_send_its_node_headers(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """What a faulty target wrote must not be taken for its node's refusal of an order that ran."""
+    """Guards against taking a faulty target's headers for a refusal by its node."""
     target = Target(nursery=nursery, answer_headers="Ebonyvalve-Refused: not-run:target-shed\r\n")
     entry = build_entry(target)
-    told: list[exchange.Headers] = []
+    replies: list[exchange.Headers] = []
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
-        told.append(headers)
+        replies.append(headers)
         return True
 
     caller = dataclasses.replace(build_caller(), reply=reply)
     await origin.serve_hop(entry, build_order("r1"), caller)
     assert target.ran == ["r1"]
-    assert wire.find_header(told[0], hop_headers.REFUSED_HEADER) is None
-    assert wire.find_header(told[0], hop_headers.LOAD_HEADER) is not None
+    assert wire.find_header(replies[0], hop_headers.REFUSED_HEADER) is None
+    assert wire.find_header(replies[0], hop_headers.LOAD_HEADER) is not None
 
 
 @pytest.mark.parametrize(
@@ -255,10 +260,10 @@
         [(hop_headers.LOAD_HEADER, b"1,2")],
     ],
 )
-async def test_unreadable_answer_of_a_node_ends_no_process(
+async def test_unreadable_reply_of_a_node_does_not_end_the_process(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, headers: exchange.Headers
 ) -> None:
-    """Nodes of two releases run beside each other; what can't be read is no proof."""
+    """Guards against a node that fails on headers of another release, or trusts invalid ones."""
     lines = b"".join(b"%s: %s\r\n" % pair for pair in headers).decode("latin-1")
     other = Target(nursery=nursery, answer_headers=lines)
     entry = build_entry(Target(nursery=nursery))
@@ -266,5 +271,5 @@
     name = identity.NodeId("other")
     entry.node.members[name] = build_member(entry, "other")
     view = node_module.read_view(entry.node, name)
-    ended = await origin._forward(entry, build_order("r1"), build_caller(), name, view)
-    assert ended.result.verdict is not outcome.Verdict.NOT_RUN
+    completion = await origin._forward(entry, build_order("r1"), build_caller(), name, view)
+    assert completion.result.verdict is not outcome.Verdict.NOT_RUN
