--- a/src/ebonyvalve/process/budget.py
+++ b/src/ebonyvalve/process/budget.py
@@ -28,16 +28,16 @@
     buckets: dict[identity.ServiceId, Budget] = dataclasses.field(default_factory=dict)
 
 
-def find_budget(allowance: ServiceBudgets, service: identity.ServiceId) -> Budget:
+def find_budget(budgets: ServiceBudgets, service: identity.ServiceId) -> Budget:
     """Return the bucket of a service; a new one is full.
 
-    :param allowance: the buckets.
+    :param budgets: the buckets.
     :param service: one that the configuration names.
     """
-    bucket = allowance.buckets.get(service)
+    bucket = budgets.buckets.get(service)
     if bucket is None:
-        share, burst = allowance.share, allowance.burst
-        bucket = allowance.buckets[service] = Budget(share=share, burst=burst, level=burst)
+        share, burst = budgets.share, budgets.burst
+        bucket = budgets.buckets[service] = Budget(share=share, burst=burst, level=burst)
     return bucket
 
 
@@ -59,29 +59,29 @@
     return ratio / 2
 
 
-def set_share(allowance: ServiceBudgets, share: float) -> None:
+def set_share(budgets: ServiceBudgets, share: float) -> None:
     """Change how much of an extra attempt each request earns.
 
-    :param allowance: the buckets.
+    :param budgets: the buckets.
     :param share: from :func:`choose_share`.
     """
-    allowance.share = share
-    for bucket in allowance.buckets.values():
+    budgets.share = share
+    for bucket in budgets.buckets.values():
         bucket.share = share
 
 
-def divide_burst(allowance: ServiceBudgets, slack: float, nodes: int) -> None:
+def divide_burst(budgets: ServiceBudgets, slack: float, nodes: int) -> None:
     """Give a node its part of the extra attempts that all nodes together may make in a burst.
 
     Half is kept back: a window may begin just before one burst and end just after the next.
 
-    :param allowance: the buckets.
+    :param budgets: the buckets.
     :param slack: extra attempts of all nodes for one service.
     :param nodes: how many nodes there are.
     """
-    allowance.burst = slack / (2 * max(1, nodes))
-    for bucket in allowance.buckets.values():
-        bucket.burst = allowance.burst
+    budgets.burst = slack / (2 * max(1, nodes))
+    for bucket in budgets.buckets.values():
+        bucket.burst = budgets.burst
         bucket.level = min(bucket.level, bucket.burst)
 
 
--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -88,7 +88,7 @@
     # The node has followed a higher term.
     SUPERSEDED = "superseded"
     # The node does not receive its renewals.
-    UNSEEN = "unseen"
+    UNRECEIVED = "unseen"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -115,12 +115,12 @@
     reason: assignment.MoveReason | None = None
     # Whether the shard may be granted under its committed fencing token: nobody has been granted
     # it, or the former holder has handed over the token memory.
-    is_ready: bool = False
+    is_grantable: bool = False
     # The shard stays without a holder until then.
     free_at_s: float = -math.inf
     # The key went back into its partition; the entry remains until nobody holds it.
     is_merged: bool = False
-    changed: int = 0
+    changed_version: int = 0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -129,10 +129,10 @@
 
     member: message.Member
     end_s: float
-    heard_at_s: float
+    last_heartbeat_at_s: float
     # Consecutive heartbeats that reported no valid lease although the one before was answered by a
     # renewal.
-    unseen: int = 0
+    unreceived: int = 0
     is_answered: bool = False
     # Whether it has been renewed since its holdings were collected, or reported any.
     is_renewed: bool = False
@@ -147,26 +147,28 @@
     """State of the coordinator. It is replaced, never changed."""
 
     cell: identity.CellId
-    seat: NodeInstance
+    instance: NodeInstance
     zone: identity.ZoneId
     row: CellRow
     # When the coordinator took up the role.
-    since_s: float
+    started_at_s: float
     # Until then, nodes that have not answered may serve under leases of the former coordinator.
     unknown_until_s: float
     # Standbys of a write of the cell row that is under way or whose outcome is not known.
-    proposed: list[NodeInstance] = dataclasses.field(default_factory=list)
+    proposed_standbys: list[NodeInstance] = dataclasses.field(default_factory=list)
     consents: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
     leases: dict[identity.NodeId, NodeLease] = dataclasses.field(default_factory=dict)
     assignments: dict[identity.ShardId, Assignment] = dataclasses.field(default_factory=dict)
     # By node, the digest of what it is counted to hold.
     digests: dict[identity.NodeId, int] = dataclasses.field(default_factory=dict)
     # Keys that were shards of their own, with the routes version of their removal.
-    removed: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
-    splits: dict[identity.ShardId, identity.ShardId] = dataclasses.field(default_factory=dict)
-    merges: frozenset[identity.ShardId] = frozenset()
+    removed_keys: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
+    pending_splits: dict[identity.ShardId, identity.ShardId] = dataclasses.field(
+        default_factory=dict
+    )
+    pending_merges: frozenset[identity.ShardId] = frozenset()
     # Versions of the rows that the coordinator has read or written.
-    versions: dict[str, int] = dataclasses.field(default_factory=dict)
+    row_versions: dict[str, int] = dataclasses.field(default_factory=dict)
     routes_version: int = 0
     members_version: int = 0
     config_version: identity.ConfigVersion = identity.ConfigVersion(0)
@@ -177,7 +179,7 @@
     """A committed change of a shard's assignment."""
 
     shard: identity.ShardId
-    before: identity.NodeId
+    previous_owner: identity.NodeId
     owner: identity.NodeId
     fence: identity.Fence
     reason: assignment.MoveReason
@@ -305,16 +307,16 @@
 
 
 def give_consent(
-    standby: Standby, *, seen: identity.Term, asked: identity.Term, now: float
+    standby: Standby, *, followed_term: identity.Term, requested_term: identity.Term, now: float
 ) -> Standby | None:
     """Return the state after a consent, or ``None`` if it is refused.
 
     :param standby: the state.
-    :param seen: the highest term that the node has followed.
-    :param asked: the term of the coordinator that asks.
+    :param followed_term: the highest term that the node has followed.
+    :param requested_term: the term of the coordinator that asks.
     :param now: the time in seconds at which the request was received.
     """
-    if standby.is_claiming or asked < seen:
+    if standby.is_claiming or requested_term < followed_term:
         return None
     return dataclasses.replace(
         standby, promised_until_s=max(standby.promised_until_s, lease.compute_promise_end(now))
@@ -324,7 +326,7 @@
 def find_lease_bound(
     row: CellRow | None,
     *,
-    seat: NodeInstance,
+    instance: NodeInstance,
     standby: Standby,
     announced: dict[identity.NodeId, identity.Incarnation],
     read_at_s: float,
@@ -338,7 +340,7 @@
     address, or if a later process announced itself under its node id.
 
     :param row: the cell row, or ``None`` if there is none.
-    :param seat: the claimant.
+    :param instance: the claimant.
     :param standby: what the claimant has promised.
     :param announced: incarnations by node, from the announcements.
     :param read_at_s: when the row was read, in seconds.
@@ -348,54 +350,56 @@
         return None
     if row is None:
         return now
-    if row.coordinator == seat:
+    if row.coordinator == instance:
         return lease.compute_lease_end(now)
-    if seat in row.standbys:
+    if instance in row.standbys:
         return lease.compute_lease_end(max(standby.promised_until_s, read_at_s))
-    if any(_has_ended(named, seat, announced) for named in [row.coordinator, *row.standbys]):
+    if any(_has_ended(named, instance, announced) for named in [row.coordinator, *row.standbys]):
         return lease.compute_lease_end(lease.compute_promise_end(now))
     return None
 
 
 def _has_ended(
-    named: NodeInstance, seat: NodeInstance, announced: dict[identity.NodeId, identity.Incarnation]
+    named: NodeInstance,
+    instance: NodeInstance,
+    announced: dict[identity.NodeId, identity.Incarnation],
 ) -> bool:
-    if named.incarnation == seat.incarnation:
+    if named.incarnation == instance.incarnation:
         return False
-    if named.address == seat.address:
+    if named.address == instance.address:
         return True
     return announced.get(named.node, named.incarnation) != named.incarnation
 
 
-def claim(row: CellRow | None, seat: NodeInstance, seen: identity.Term) -> CellRow:
+def claim(row: CellRow | None, instance: NodeInstance, followed_term: identity.Term) -> CellRow:
     """Return the cell row that a claimant writes.
 
     :param row: the row that it replaces.
-    :param seat: the claimant.
-    :param seen: the highest term that it has followed.
+    :param instance: the claimant.
+    :param followed_term: the highest term that it has followed.
     """
     if row is None:
-        return CellRow(term=identity.Term(seen + 1), coordinator=seat)
-    others = [named for named in row.standbys if named.node != seat.node]
-    term = identity.Term(max(row.term, seen) + 1)
-    return CellRow(term=term, coordinator=seat, standbys=others)
+        return CellRow(term=identity.Term(followed_term + 1), coordinator=instance)
+    others = [named for named in row.standbys if named.node != instance.node]
+    term = identity.Term(max(row.term, followed_term) + 1)
+    return CellRow(term=term, coordinator=instance, standbys=others)
 
 
-def hand_over(row: CellRow, seat: NodeInstance) -> CellRow:
+def hand_over(row: CellRow, instance: NodeInstance) -> CellRow:
     """Return the cell row by which a coordinator that stops names its successor.
 
     :param row: the row that it replaces.
-    :param seat: one of its standbys.
+    :param instance: one of its standbys.
     """
-    others = [named for named in row.standbys if named.node != seat.node]
-    return CellRow(term=identity.Term(row.term + 1), coordinator=seat, standbys=others)
+    others = [named for named in row.standbys if named.node != instance.node]
+    return CellRow(term=identity.Term(row.term + 1), coordinator=instance, standbys=others)
 
 
 def open_coordinator(
     row: CellRow,
     *,
     cell: identity.CellId,
-    seat: NodeInstance,
+    instance: NodeInstance,
     zone: identity.ZoneId,
     version: int,
     unknown_until_s: float,
@@ -405,7 +409,7 @@
 
     :param row: the cell row as committed.
     :param cell: the cell.
-    :param seat: the coordinator.
+    :param instance: the coordinator.
     :param zone: its zone.
     :param version: the version of the cell row.
     :param unknown_until_s: from :func:`find_lease_bound`.
@@ -414,19 +418,19 @@
     base = row.term << TERM_SHIFT
     return Coordinator(
         cell=cell,
-        seat=seat,
+        instance=instance,
         zone=zone,
         row=row,
-        since_s=now,
+        started_at_s=now,
         unknown_until_s=unknown_until_s,
-        versions={name_cell_row(cell): version},
+        row_versions={name_cell_row(cell): version},
         routes_version=base,
         members_version=base,
     )
 
 
 def load_rows(
-    state: Coordinator, rows: dict[str, tuple[bytes, int]], wait: FindGrace
+    state: Coordinator, rows: dict[str, tuple[bytes, int]], find_grace: FindGrace
 ) -> Coordinator:
     """Take assignments as they are found in the table.
 
@@ -436,7 +440,7 @@
 
     :param state: the coordinator.
     :param rows: values and versions of ``page/`` and ``hot/`` rows.
-    :param wait: by service, how long a shard stays free after a loss, in seconds.
+    :param find_grace: by service, how long a shard stays free after a loss, in seconds.
     """
     changes: dict[identity.ShardId, Assignment] = {}
     for name, (value, _) in rows.items():
@@ -444,7 +448,7 @@
         for shard, found in _list_entries(name, service, value):
             known = state.assignments.get(shard)
             if known is None:
-                free_at = state.unknown_until_s + wait(service)
+                free_at = state.unknown_until_s + find_grace(service)
                 changes[shard] = dataclasses.replace(found, free_at_s=free_at)
             elif (known.owner, known.fence) != (found.owner, found.fence):
                 changes[shard] = dataclasses.replace(
@@ -453,7 +457,7 @@
                     fence=found.fence,
                     parent=found.parent,
                     target=None if known.target == found.owner else known.target,
-                    is_ready=True,
+                    is_grantable=True,
                     is_merged=False,
                 )
         if name.startswith("hot/"):
@@ -465,8 +469,8 @@
                     and not known.is_merged
                 ):
                     changes[shard] = dataclasses.replace(known, is_merged=True, target=None)
-    versions = {**state.versions, **{name: version for name, (_, version) in rows.items()}}
-    return _put(dataclasses.replace(state, versions=versions), changes)
+    versions = {**state.row_versions, **{name: version for name, (_, version) in rows.items()}}
+    return _put_assignments(dataclasses.replace(state, row_versions=versions), changes)
 
 
 def _list_entries(
@@ -499,7 +503,9 @@
     :param state: the coordinator.
     :param shards: the partitions of every keyed service.
     """
-    return _put(state, {shard: Assignment() for shard in shards if shard not in state.assignments})
+    return _put_assignments(
+        state, {shard: Assignment() for shard in shards if shard not in state.assignments}
+    )
 
 
 # Members and leases
@@ -512,7 +518,11 @@
 
     :param state: the coordinator.
     """
-    return list({seat.node: seat for seat in [*state.proposed, *state.row.standbys]}.values())
+    return list(
+        {
+            instance.node: instance for instance in [*state.proposed_standbys, *state.row.standbys]
+        }.values()
+    )
 
 
 def record_consent(state: Coordinator, node: identity.NodeId, sent_at_s: float) -> Coordinator:
@@ -527,33 +537,37 @@
 
 
 def handle_heartbeat(
-    state: Coordinator, beat: message.Heartbeat, now: float
+    state: Coordinator, heartbeat: message.Heartbeat, now: float
 ) -> tuple[Coordinator, HeartbeatAnswer]:
     """Decide on a heartbeat; if the answer is ``RENEW``, the lease is counted from now.
 
     :param state: the coordinator.
-    :param beat: the heartbeat.
+    :param heartbeat: the heartbeat.
     :param now: the time in seconds.
     """
-    node = beat.member.node
+    node = heartbeat.member.node
     known = state.leases.get(node)
-    if beat.term > state.row.term:
+    if heartbeat.term > state.row.term:
         return state, HeartbeatAnswer.SUPERSEDED
-    if known is not None and known.member.incarnation != beat.member.incarnation:
+    if known is not None and known.member.incarnation != heartbeat.member.incarnation:
         return state, (
             HeartbeatAnswer.OLD_INCARNATION if now < known.end_s else HeartbeatAnswer.COLLECT
         )
-    if known is None or now >= known.end_s or beat.term < state.row.term:
+    if known is None or now >= known.end_s or heartbeat.term < state.row.term:
         return state, HeartbeatAnswer.COLLECT
-    unseen = 0 if beat.is_live else known.unseen + int(known.is_answered)
+    unreceived = 0 if heartbeat.is_live else known.unreceived + int(known.is_answered)
     heard = dataclasses.replace(
-        known, member=beat.member, heard_at_s=now, unseen=unseen, is_answered=False
+        known,
+        member=heartbeat.member,
+        last_heartbeat_at_s=now,
+        unreceived=unreceived,
+        is_answered=False,
     )
     state = _put_lease(state, heard)
-    if beat.config_version > state.config_version:
+    if heartbeat.config_version > state.config_version:
         return state, HeartbeatAnswer.BEHIND_CONFIG
-    if unseen >= MAX_UNRECEIVED_RENEWALS:
-        return state, HeartbeatAnswer.UNSEEN
+    if unreceived >= MAX_UNRECEIVED_RENEWALS:
+        return state, HeartbeatAnswer.UNRECEIVED
     if not may_renew(state, node, now):
         return state, HeartbeatAnswer.NO_CONSENT
     renewed = dataclasses.replace(
@@ -561,8 +575,8 @@
         end_s=max(heard.end_s, lease.compute_lease_end(now)),
         is_renewed=True,
         is_answered=True,
-        loads=beat.loads or heard.loads,
-        hot_keys=beat.hot_keys or heard.hot_keys,
+        loads=heartbeat.loads or heard.loads,
+        hot_keys=heartbeat.hot_keys or heard.hot_keys,
     )
     return _put_lease(state, renewed), HeartbeatAnswer.RENEW
 
@@ -578,37 +592,39 @@
     :param now: the time in seconds.
     """
     required = list_required(state)
-    if not required and node != state.seat.node:
+    if not required and node != state.instance.node:
         return False
-    return lease.may_renew(state.consents, [seat.node for seat in required], now)
+    return lease.may_renew(state.consents, [instance.node for instance in required], now)
 
 
 def build_renewal(
-    state: Coordinator, beat: message.Heartbeat, quarantine: list[message.Quarantined]
+    state: Coordinator, heartbeat: message.Heartbeat, quarantine: list[message.Quarantined]
 ) -> message.Renewal:
     """Return the renewal that answers a heartbeat.
 
     :param state: the coordinator, after :func:`hear`.
-    :param beat: the heartbeat.
+    :param heartbeat: the heartbeat.
     :param quarantine: the entries that every node has to know.
     """
-    is_new = beat.members_version != state.members_version
+    is_new = heartbeat.members_version != state.members_version
     members = [known.member for known in state.leases.values()] if is_new else []
     return message.Renewal(
         term=state.row.term,
         lease_s=lease.LEASE_S,
-        coordinator=state.seat.node,
+        coordinator=state.instance.node,
         config_version=state.config_version,
         routes_version=state.routes_version,
-        routes=list_routes(state, beat.routes_version),
+        routes=list_routes(state, heartbeat.routes_version),
         members_version=state.members_version,
         members=members,
         quarantine=quarantine,
-        holdings_digest=_confirm(state, beat.member.node) if beat.is_suspended else None,
+        holdings_digest=(
+            _confirm_holdings(state, heartbeat.member.node) if heartbeat.is_suspended else None
+        ),
     )
 
 
-def _confirm(state: Coordinator, node: identity.NodeId) -> int | None:
+def _confirm_holdings(state: Coordinator, node: identity.NodeId) -> int | None:
     """Return the digest that confirms suspended holdings, or ``None``.
 
     Only what the node holds alone, under the committed fencing token, may be served again. After a
@@ -624,23 +640,24 @@
     return state.digests.get(node, 0)
 
 
-def list_routes(state: Coordinator, seen: int) -> list[message.Route]:
+def list_routes(state: Coordinator, known_version: int) -> list[message.Route]:
     """Return the routes that changed since a version.
 
     :param state: the coordinator.
-    :param seen: the routes version that the node has; a version of an earlier term yields all.
+    :param known_version: the routes version that the node has; with one of an earlier term, all
+        routes are returned.
     """
-    if seen == state.routes_version:
+    if known_version == state.routes_version:
         return []
     routes = [
         message.Route(shard=shard, owner=entry.owner, fence=entry.fence)
         for shard, entry in state.assignments.items()
-        if entry.changed > seen and entry.fence > 0 and not entry.is_merged
+        if entry.changed_version > known_version and entry.fence > 0 and not entry.is_merged
     ]
     gone = [
         message.Route(shard=shard, owner=lease.NOBODY, fence=identity.Fence(0))
-        for shard, changed in state.removed.items()
-        if changed > seen
+        for shard, changed in state.removed_keys.items()
+        if changed > known_version
     ]
     return routes + gone
 
@@ -666,7 +683,7 @@
     known = NodeLease(
         member=following.member,
         end_s=end_s,
-        heard_at_s=now,
+        last_heartbeat_at_s=now,
         is_renewed=bool(following.holdings),
     )
     state = _put_lease(state, known)
@@ -688,30 +705,30 @@
             holders={**entry.holders, node: holder},
             # The node did not receive the committed fencing token and now refuses it from the
             # former coordinator, so nobody has served under it.
-            is_ready=entry.is_ready or (is_owner and holding.fence < entry.fence),
+            is_grantable=entry.is_grantable or (is_owner and holding.fence < entry.fence),
         )
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def expire(
-    state: Coordinator, wait: FindGrace, now: float
+    state: Coordinator, find_grace: FindGrace, now: float
 ) -> tuple[Coordinator, list[identity.NodeId]]:
     """Drop nodes whose lease has provably expired, and free what they held.
 
     :param state: the coordinator.
-    :param wait: by service, how long a shard stays free after a loss, in seconds.
+    :param find_grace: by service, how long a shard stays free after a loss, in seconds.
     :param now: the time in seconds.
     """
     lost = [node for node, known in state.leases.items() if now >= known.end_s]
     for node in lost:
-        state = _drop_node(state, node, wait)
+        state = _drop_node(state, node, find_grace)
     return state, lost
 
 
-def _drop_node(state: Coordinator, node: identity.NodeId, wait: FindGrace) -> Coordinator:
+def _drop_node(state: Coordinator, node: identity.NodeId, find_grace: FindGrace) -> Coordinator:
     end_s = state.leases[node].end_s
     leases = {other: known for other, known in state.leases.items() if other != node}
-    state = _put_members(dataclasses.replace(state, leases=leases))
+    state = _increment_members_version(dataclasses.replace(state, leases=leases))
     changes = {}
     for shard, entry in state.assignments.items():
         if entry.target == node:
@@ -720,11 +737,11 @@
         if node in entry.holders:
             holders = {other: held for other, held in entry.holders.items() if other != node}
             service = identity.split_shard(shard)[0]
-            free_at = max(entry.free_at_s, end_s + wait(service))
+            free_at = max(entry.free_at_s, end_s + find_grace(service))
             changes[shard] = dataclasses.replace(
-                entry, holders=holders, free_at_s=free_at, is_ready=False
+                entry, holders=holders, free_at_s=free_at, is_grantable=False
             )
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def is_drained(state: Coordinator, node: identity.NodeId) -> bool:
@@ -739,7 +756,7 @@
     entries = state.assignments.values()
     if any(node == entry.owner or node in entry.holders for entry in entries):
         return False
-    if node != state.seat.node:
+    if node != state.instance.node:
         return True
     return all(
         entry.target is None and all(held.is_acked for held in entry.holders.values())
@@ -757,7 +774,7 @@
     known = state.leases.get(node)
     if known is None or not known.is_renewed:
         return False
-    return now < known.end_s and known.unseen < MAX_UNRECEIVED_RENEWALS
+    return now < known.end_s and known.unreceived < MAX_UNRECEIVED_RENEWALS
 
 
 def should_step_down(state: Coordinator, now: float) -> bool:
@@ -766,11 +783,13 @@
     :param state: the coordinator.
     :param now: the time in seconds.
     """
-    return _has_lost_most(state, now, NODE_SILENCE_S)
+    return _is_majority_silent(state, now, NODE_SILENCE_S)
 
 
-def _has_lost_most(state: Coordinator, now: float, silence_s: float) -> bool:
-    silent = [known for known in state.leases.values() if now - known.heard_at_s > silence_s]
+def _is_majority_silent(state: Coordinator, now: float, silence_s: float) -> bool:
+    silent = [
+        known for known in state.leases.values() if now - known.last_heartbeat_at_s > silence_s
+    ]
     return 2 * len(silent) > len(state.leases)
 
 
@@ -785,18 +804,18 @@
     :param state: the coordinator.
     :param now: the time in seconds.
     """
-    if _has_lost_most(state, now, STANDBY_SILENCE_S):
+    if _is_majority_silent(state, now, STANDBY_SILENCE_S):
         return state.row.standbys
-    kept = [seat for seat in state.row.standbys if not _is_silent(state, seat, now)]
-    zones = {state.zone} | {_find_zone(state, seat.node) for seat in kept}
-    named = {seat.node for seat in kept}
+    kept = [instance for instance in state.row.standbys if not _is_silent(state, instance, now)]
+    zones = {state.zone} | {_find_zone(state, instance.node) for instance in kept}
+    named = {instance.node for instance in kept}
     spare = [
         known.member
         for node, known in sorted(state.leases.items())
         if node not in named
-        and node != state.seat.node
+        and node != state.instance.node
         and not known.member.is_leaving
-        and now - known.heard_at_s <= STANDBY_SILENCE_S
+        and now - known.last_heartbeat_at_s <= STANDBY_SILENCE_S
     ]
     for member in sorted(spare, key=lambda member: member.zone == state.zone):
         if len(kept) >= MAX_STANDBYS or (member.zone in zones and kept):
@@ -816,14 +835,16 @@
     )
 
 
-def propose_standbys(state: Coordinator, seats: list[NodeInstance]) -> tuple[Coordinator, CellRow]:
+def propose_standbys(
+    state: Coordinator, standbys: list[NodeInstance]
+) -> tuple[Coordinator, CellRow]:
     """Return the state during a write of the cell row, and the row.
 
     :param state: the coordinator.
-    :param seats: the new standbys; each must have consented already.
+    :param standbys: the new standbys; each must have consented already.
     """
-    row = CellRow(term=state.row.term, coordinator=state.row.coordinator, standbys=seats)
-    return dataclasses.replace(state, proposed=seats), row
+    row = CellRow(term=state.row.term, coordinator=state.row.coordinator, standbys=standbys)
+    return dataclasses.replace(state, proposed_standbys=standbys), row
 
 
 def record_cell_row(state: Coordinator, row: CellRow, version: int) -> Coordinator:
@@ -833,18 +854,18 @@
     :param row: the row.
     :param version: its version.
     """
-    versions = {**state.versions, name_cell_row(state.cell): version}
-    return dataclasses.replace(state, row=row, proposed=[], versions=versions)
+    versions = {**state.row_versions, name_cell_row(state.cell): version}
+    return dataclasses.replace(state, row=row, proposed_standbys=[], row_versions=versions)
 
 
-def _is_silent(state: Coordinator, seat: NodeInstance, now: float) -> bool:
-    known = state.leases.get(seat.node)
-    if known is not None and known.member.incarnation != seat.incarnation:
+def _is_silent(state: Coordinator, instance: NodeInstance, now: float) -> bool:
+    known = state.leases.get(instance.node)
+    if known is not None and known.member.incarnation != instance.incarnation:
         return True
     if known is not None and known.member.is_leaving:
         return True
-    asked_at = state.consents.get(seat.node, -math.inf) - lease.CONSENT_S
-    return now > max(asked_at, state.since_s) + STANDBY_SILENCE_S
+    asked_at = state.consents.get(instance.node, -math.inf) - lease.CONSENT_S
+    return now > max(asked_at, state.started_at_s) + STANDBY_SILENCE_S
 
 
 def _find_zone(state: Coordinator, node: identity.NodeId) -> identity.ZoneId:
@@ -874,7 +895,7 @@
         if entry.is_merged or (entry.parent or shard) not in shards:
             continue
         owner = entry.target if entry.target is not None else entry.owner
-        is_held = entry.target is not None or entry.is_ready or bool(entry.holders)
+        is_held = entry.target is not None or entry.is_grantable or bool(entry.holders)
         owners[shard] = owner if owner in members and is_held else None
     return assignment.PlacementView(
         members=members,
@@ -907,17 +928,19 @@
         entry = state.assignments.get(move.shard)
         if entry is None or entry.target is not None or move.shard in pending:
             continue
-        if not entry.holders and not entry.is_ready and now < entry.free_at_s:
+        if not entry.holders and not entry.is_grantable and now < entry.free_at_s:
             # Its owner may still answer and keep it.
             continue
-        is_idle = move.target == entry.owner and (entry.is_ready or bool(entry.holders))
+        is_idle = move.target == entry.owner and (entry.is_grantable or bool(entry.holders))
         if is_member(state, move.target, now) and not is_idle and not entry.is_merged:
             changes[move.shard] = dataclasses.replace(entry, target=move.target, reason=move.reason)
-    state = _put(state, changes)
+    state = _put_assignments(state, changes)
     splits = {shard: find_parent(shard) for shard in plan.split if shard not in state.assignments}
     merges = frozenset(shard for shard in plan.merge if shard in state.assignments)
     return dataclasses.replace(
-        state, splits={**state.splits, **splits}, merges=state.merges | merges
+        state,
+        pending_splits={**state.pending_splits, **splits},
+        pending_merges=state.pending_merges | merges,
     )
 
 
@@ -938,7 +961,9 @@
         revokes += [
             (node, shard) for node in entry.holders if _should_revoke(state, shard, entry, node)
         ]
-        if _may_grant(state, shard, entry, keys, now) and _is_apart(state, shard, entry, merged):
+        if _may_grant(state, shard, entry, keys, now) and _is_exclusive(
+            state, shard, entry, merged
+        ):
             holding = message.Holding(shard=shard, fence=entry.fence, excluded=sorted(keys))
             grants.setdefault(entry.owner, []).append(holding)
     return Actions(revokes=revokes, grants=grants)
@@ -991,13 +1016,13 @@
         return False
     holder = entry.holders.get(entry.owner)
     if holder is not None and holder.is_acked and holder.excluded == excluded:
-        return holder.fence < entry.fence and entry.is_ready
-    if holder is None and not (entry.is_ready and now >= entry.free_at_s):
+        return holder.fence < entry.fence and entry.is_grantable
+    if holder is None and not (entry.is_grantable and now >= entry.free_at_s):
         return False
-    return holder is None or holder.fence == entry.fence or entry.is_ready
+    return holder is None or holder.fence == entry.fence or entry.is_grantable
 
 
-def _is_apart(
+def _is_exclusive(
     state: Coordinator, shard: identity.ShardId, entry: Assignment, merged: list[Assignment]
 ) -> bool:
     """Return whether nobody else can serve the keys of the shard under another shard."""
@@ -1030,7 +1055,7 @@
         entry = state.assignments[holding.shard]
         holder = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
         changes[holding.shard] = dataclasses.replace(entry, holders={**entry.holders, node: holder})
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def record_grant_accepted(
@@ -1055,7 +1080,7 @@
         for shard, child in merged.items():
             if child.parent == holding.shard and node in child.holders:
                 changes[shard] = _drop_holder(child, node)
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def record_release(
@@ -1080,9 +1105,9 @@
     if entry is None or node not in entry.holders:
         return state
     is_current = entry.holders[node].fence == entry.fence
-    is_ready = has_memory if is_current else entry.is_ready
-    entry = dataclasses.replace(_drop_holder(entry, node), is_ready=is_ready)
-    return _put(state, {shard: entry})
+    is_grantable = has_memory if is_current else entry.is_grantable
+    entry = dataclasses.replace(_drop_holder(entry, node), is_grantable=is_grantable)
+    return _put_assignments(state, {shard: entry})
 
 
 def cancel_moves(
@@ -1098,7 +1123,7 @@
         for shard in shards
         if shard in state.assignments and state.assignments[shard].target is not None
     }
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def _drop_holder(entry: Assignment, node: identity.NodeId) -> Assignment:
@@ -1119,17 +1144,17 @@
         and (change := _build_move(state, shard, entry, now)) is not None
     ]
     moved = {change.shard for change in changes}
-    for shard, parent in state.splits.items():
-        if shard not in state.assignments and _is_settled(state, parent) and parent not in moved:
+    for shard, parent in state.pending_splits.items():
+        if shard not in state.assignments and _is_stable(state, parent) and parent not in moved:
             held = state.assignments[parent]
             changes.append(_make_split(shard, parent, held))
             moved.add(parent)
-    for shard in sorted(state.merges):
+    for shard in sorted(state.pending_merges):
         entry = state.assignments.get(shard)
         parent_of = entry.parent if entry is not None else None
         if entry is None or parent_of is None or moved & {shard, parent_of}:
             continue
-        if not (_is_settled(state, shard) and _is_settled(state, parent_of)):
+        if not (_is_stable(state, shard) and _is_stable(state, parent_of)):
             continue
         if state.assignments[parent_of].owner == entry.owner:
             changes += _make_merge(shard, entry, parent_of, state.assignments[parent_of])
@@ -1137,9 +1162,9 @@
     if not changes:
         return None
     names = sorted({name_assignment_row(change.shard) for change in changes})
-    expected = {name: state.versions.get(name, 0) for name in names}
+    expected = {name: state.row_versions.get(name, 0) for name in names}
     cell_row = name_cell_row(state.cell)
-    expected[cell_row] = state.versions[cell_row]
+    expected[cell_row] = state.row_versions[cell_row]
     pages: dict[str, list[tuple[identity.ShardId, Assignment]]] = {name: [] for name in names}
     for shard, entry in apply_changes(state, changes).assignments.items():
         name = name_assignment_row(shard)
@@ -1162,7 +1187,7 @@
         return None
     return Change(
         shard=shard,
-        before=entry.owner,
+        previous_owner=entry.owner,
         owner=target,
         fence=_next_fence(entry),
         reason=entry.reason or assignment.MoveReason.ORPHANED,
@@ -1176,7 +1201,7 @@
     return identity.Fence(max(fences) + 1)
 
 
-def _is_settled(state: Coordinator, shard: identity.ShardId) -> bool:
+def _is_stable(state: Coordinator, shard: identity.ShardId) -> bool:
     entry = state.assignments.get(shard)
     if entry is None or entry.target is not None or entry.is_merged:
         return False
@@ -1190,7 +1215,7 @@
     # The key's fencing token is above its partition's, because targets may compare them by key.
     return Change(
         shard=shard,
-        before=held.owner,
+        previous_owner=held.owner,
         owner=held.owner,
         fence=_next_fence(held),
         reason=assignment.MoveReason.HOT_KEY,
@@ -1204,7 +1229,7 @@
 ) -> list[Change]:
     key = Change(
         shard=shard,
-        before=entry.owner,
+        previous_owner=entry.owner,
         owner=entry.owner,
         fence=entry.fence,
         reason=assignment.MoveReason.HOT_KEY,
@@ -1213,7 +1238,7 @@
     )
     partition = Change(
         shard=parent,
-        before=held.owner,
+        previous_owner=held.owner,
         owner=held.owner,
         fence=_next_fence(entry, held),
         reason=assignment.MoveReason.HOT_KEY,
@@ -1267,16 +1292,18 @@
             parent=change.parent,
             target=None,
             reason=None,
-            is_ready=True,
+            is_grantable=True,
             is_merged=change.is_merged,
         )
     done = {change.shard for change in changes}
     state = dataclasses.replace(
         state,
-        splits={shard: parent for shard, parent in state.splits.items() if shard not in done},
-        merges=state.merges - done,
+        pending_splits={
+            shard: parent for shard, parent in state.pending_splits.items() if shard not in done
+        },
+        pending_merges=state.pending_merges - done,
     )
-    return _put(state, updated)
+    return _put_assignments(state, updated)
 
 
 def record_commit(state: Coordinator, transaction: Transaction) -> Coordinator:
@@ -1289,18 +1316,20 @@
     :param transaction: the committed write.
     """
     written = {name: transaction.expected[name] + 1 for name in transaction.writes}
-    return dataclasses.replace(state, versions={**state.versions, **written})
+    return dataclasses.replace(state, row_versions={**state.row_versions, **written})
 
 
 # Updates that keep digests and versions in step
 
 
-def _put(state: Coordinator, changes: dict[identity.ShardId, Assignment]) -> Coordinator:
+def _put_assignments(
+    state: Coordinator, changes: dict[identity.ShardId, Assignment]
+) -> Coordinator:
     if not changes:
         return state
     assigned = dict(state.assignments)
     digests = dict(state.digests)
-    removed = dict(state.removed)
+    removed = dict(state.removed_keys)
     version = state.routes_version + 1
     is_rerouted = False
     for shard, entry in changes.items():
@@ -1313,7 +1342,7 @@
             entry.is_merged,
         ):
             is_rerouted = True
-            entry = dataclasses.replace(entry, changed=version)
+            entry = dataclasses.replace(entry, changed_version=version)
             removed.pop(shard, None)
             if entry.is_merged:
                 removed[shard] = version
@@ -1324,7 +1353,7 @@
         state,
         assignments=assigned,
         digests=digests,
-        removed=removed,
+        removed_keys=removed,
         routes_version=version if is_rerouted else state.routes_version,
     )
 
@@ -1338,8 +1367,12 @@
     node = known.member.node
     before = state.leases.get(node)
     state = dataclasses.replace(state, leases={**state.leases, node: known})
-    return state if before is not None and before.member == known.member else _put_members(state)
+    return (
+        state
+        if before is not None and before.member == known.member
+        else _increment_members_version(state)
+    )
 
 
-def _put_members(state: Coordinator) -> Coordinator:
+def _increment_members_version(state: Coordinator) -> Coordinator:
     return dataclasses.replace(state, members_version=state.members_version + 1)
--- a/src/ebonyvalve/process/commit.py
+++ b/src/ebonyvalve/process/commit.py
@@ -44,14 +44,14 @@
     is_blocked = any(
         version > 0 and rows[key].version != version for key, version in expected.items()
     )
-    if is_blocked and any(_shows_absence(expected.get(key), rows[key]) for key in writes):
+    if is_blocked and any(_shows_not_applied(expected.get(key), rows[key]) for key in writes):
         return WriteOutcome.CONFLICT
     if expected and all(rows[key].version == version for key, version in expected.items()):
         return WriteOutcome.UNCHANGED
     return WriteOutcome.AMBIGUOUS
 
 
-def _shows_absence(version: int | None, row: platform.Row) -> bool:
+def _shows_not_applied(version: int | None, row: platform.Row) -> bool:
     """Return whether a written row, which has another value, shows that the write is not applied.
 
     The next version, if another writer has it, was not ours. A row that was deleted before resumes
@@ -81,14 +81,14 @@
     # Without a written row under a condition, sending again could undo the write of another.
     is_repeatable = any(key in expected for key in writes)
     for attempt in range(MAX_READ_BACKS):
-        finding = await _read_back(table, expected, writes)
-        if finding is WriteOutcome.COMMITTED:
+        outcome = await _read_back(table, expected, writes)
+        if outcome is WriteOutcome.COMMITTED:
             return platform.CommitState.COMMITTED
-        if finding is WriteOutcome.CONFLICT:
+        if outcome is WriteOutcome.CONFLICT:
             return platform.CommitState.CONFLICT
-        if finding is WriteOutcome.AMBIGUOUS:
+        if outcome is WriteOutcome.AMBIGUOUS:
             return platform.CommitState.UNKNOWN
-        if finding is WriteOutcome.UNCHANGED and is_repeatable:
+        if outcome is WriteOutcome.UNCHANGED and is_repeatable:
             state = await table.commit(expected, writes)
             if state is platform.CommitState.COMMITTED:
                 return state
--- a/src/ebonyvalve/process/lease.py
+++ b/src/ebonyvalve/process/lease.py
@@ -72,8 +72,8 @@
     config_version: identity.ConfigVersion = identity.ConfigVersion(0)
     # Orders of the coordinator are numbered within a term. An order that a later one overtook is
     # refused: per shard, and for all shards below the number of the last Follow.
-    follow_order: int = 0
-    shard_orders: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
+    follow_sequence: int = 0
+    shard_sequences: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -173,30 +173,30 @@
     :param state: the node.
     :param now: the time in seconds; the lease will count from it.
     """
-    beat = PendingHeartbeat(term=state.term, coordinator=state.coordinator, sent_at_s=now)
-    return lapse(state, now), beat
+    pending = PendingHeartbeat(term=state.term, coordinator=state.coordinator, sent_at_s=now)
+    return lapse(state, now), pending
 
 
 def apply_renewal(
-    state: Node, beat: PendingHeartbeat, renewal: message.Renewal, now: float
+    state: Node, pending: PendingHeartbeat, renewal: message.Renewal, now: float
 ) -> tuple[Node, RenewalState]:
     """Extend the lease from the time at which the heartbeat was sent.
 
     :param state: the node.
-    :param beat: the heartbeat that the renewal answers.
+    :param pending: the heartbeat that the renewal answers.
     :param renewal: the coordinator's answer.
     :param now: the time in seconds.
     """
     state = lapse(state, now)
     expected = (state.term, state.term, state.coordinator, state.coordinator)
-    if (beat.term, renewal.term, beat.coordinator, renewal.coordinator) != expected:
+    if (pending.term, renewal.term, pending.coordinator, renewal.coordinator) != expected:
         return state, RenewalState.STALE
     if renewal.config_version < state.config_version:
         return state, RenewalState.STALE
     if renewal.config_version > state.config_version:
         return state, RenewalState.NEEDS_CONFIG
     state = dataclasses.replace(
-        state, lease_end_s=max(state.lease_end_s, beat.sent_at_s + renewal.lease_s)
+        state, lease_end_s=max(state.lease_end_s, pending.sent_at_s + renewal.lease_s)
     )
     if is_live(state, now) and renewal.holdings_digest == state.digest:
         state = _confirm(state)
@@ -221,9 +221,9 @@
     :param request: the order.
     :param shard: the shard concerned.
     """
-    if request.term != state.term or request.to != state.incarnation:
+    if request.term != state.term or request.incarnation != state.incarnation:
         return False
-    return request.order >= max(state.follow_order, state.shard_orders.get(shard, 0))
+    return request.sequence >= max(state.follow_sequence, state.shard_sequences.get(shard, 0))
 
 
 def follow(
@@ -232,7 +232,7 @@
     term: identity.Term,
     coordinator: identity.NodeId,
     address: identity.Address,
-    order: int,
+    sequence: int,
     now: float,
 ) -> Node:
     """Follow a coordinator, unless the node has seen a higher term.
@@ -244,21 +244,21 @@
     :param term: the coordinator's term.
     :param coordinator: the coordinator.
     :param address: its address for control messages.
-    :param order: number of the order; 0 if the node follows on its own.
+    :param sequence: number of the order; 0 if the node follows on its own.
     :param now: the time in seconds.
     """
     if term < state.term:
         return state
     if term == state.term:
-        return dataclasses.replace(state, follow_order=max(state.follow_order, order))
+        return dataclasses.replace(state, follow_sequence=max(state.follow_sequence, sequence))
     state = dataclasses.replace(
         state,
         holdings={shard: _restore(held) for shard, held in state.holdings.items()},
         term=term,
         coordinator=coordinator,
         coordinator_address=address,
-        follow_order=order,
-        shard_orders={},
+        follow_sequence=sequence,
+        shard_sequences={},
     )
     return lapse(state, now)
 
@@ -282,8 +282,8 @@
             state=HoldingState.RELEASING,
             was_suspended=is_suspended(holdings[shard]),
         )
-    orders = {**state.shard_orders, **dict.fromkeys(accepted, request.order)}
-    return _put_holdings(dataclasses.replace(state, shard_orders=orders), holdings), held
+    sequences = {**state.shard_sequences, **dict.fromkeys(accepted, request.sequence)}
+    return _put_holdings(dataclasses.replace(state, shard_sequences=sequences), holdings), held
 
 
 def end_release(state: Node, shards: list[identity.ShardId]) -> Node:
@@ -323,8 +323,11 @@
         changed[holding.shard] = HeldShard(
             fence=holding.fence, excluded=frozenset(holding.excluded), state=taken
         )
-    orders = {**state.shard_orders, **{holding.shard: request.order for holding in holdings}}
-    return _put_holdings(dataclasses.replace(state, shard_orders=orders), changed), True
+    sequences = {
+        **state.shard_sequences,
+        **{holding.shard: request.sequence for holding in holdings},
+    }
+    return _put_holdings(dataclasses.replace(state, shard_sequences=sequences), changed), True
 
 
 def list_merged_keys(state: Node, holding: message.Holding) -> list[identity.KeyId]:
--- a/src/ebonyvalve/process/limit.py
+++ b/src/ebonyvalve/process/limit.py
@@ -103,25 +103,25 @@
     phase: Phase = Phase.WARMING
     limit: float = 1.0
     # Time during which the target worked since it became cold; an idle target does not warm up.
-    worked_s: float = 0.0
+    busy_s: float = 0.0
     running: dict[Ticket, float] = dataclasses.field(default_factory=dict)
     # Waiting requests in order of arrival, with their deadlines.
     waiting: dict[Ticket, float] = dataclasses.field(default_factory=dict)
     last_ticket: int = 0
     is_paused: bool = False
     is_reported_cold: bool = False
-    recent_s: float | None = None
-    normal_s: float | None = None
+    recent_latency_s: float | None = None
+    normal_latency_s: float | None = None
     normal_gap_s: float | None = None
-    warming_s: float | None = None
+    warming_latency_s: float | None = None
     warming_replies: int = 0
-    best_s: float | None = None
+    best_warming_latency_s: float | None = None
     slow_run: int = 0
     shed_run: int = 0
     slow_since: float = 0.0
     last_reply_at: float = float("-inf")
     last_ok_at: float = float("-inf")
-    last_fall_at: float = float("-inf")
+    last_decrease_at: float = float("-inf")
 
 
 def create(*, slots: int, warm_up_s: float) -> Target:
@@ -161,7 +161,7 @@
             return Decision(
                 admission=Admission.REFUSE, cause=Cause.QUEUE_FULL, retry_after_s=hint_s
             )
-        if now + wait_s + (target.recent_s or 0.0) > deadline:
+        if now + wait_s + (target.recent_latency_s or 0.0) > deadline:
             return Decision(admission=Admission.REFUSE, cause=Cause.DEADLINE, retry_after_s=hint_s)
     ticket = _draw_ticket(target)
     target.waiting[ticket] = deadline
@@ -191,12 +191,14 @@
     if reply in (Reply.OK, Reply.TIMED_OUT):
         _learn_latency(target, now, latency_s)
     if reply is Reply.SHED:
-        _fall(target, now, WARMING_DECREASE if target.phase is Phase.WARMING else SHED_DECREASE)
+        _decrease_limit(
+            target, now, WARMING_DECREASE if target.phase is Phase.WARMING else SHED_DECREASE
+        )
         target.shed_run += len(target.running) < target.slots
         if target.phase is Phase.STEADY and target.shed_run >= SHED_RUN:
             enter_slow_start(target)
     if reply is Reply.OK and not _detect_cold(target, now):
-        _grow(target, now, started_at)
+        _increase_limit(target, now, started_at)
     return dequeue(target, now)
 
 
@@ -252,11 +254,11 @@
     """
     target.phase = Phase.WARMING
     target.limit = 1.0
-    target.worked_s = 0.0
-    target.warming_s = None
+    target.busy_s = 0.0
+    target.warming_latency_s = None
     target.warming_replies = 0
-    target.best_s = None
-    target.recent_s = None
+    target.best_warming_latency_s = None
+    target.recent_latency_s = None
     target.slow_run = 0
     target.shed_run = 0
 
@@ -287,11 +289,11 @@
 
     :param target: the target's state.
     """
-    if target.recent_s is None:
+    if target.recent_latency_s is None:
         return 0.0
     # Requests beyond a fallen limit must end before the queue moves.
     ahead = len(target.waiting) + 1 + max(0, len(target.running) - read_limit(target))
-    return ahead * target.recent_s / read_limit(target)
+    return ahead * target.recent_latency_s / read_limit(target)
 
 
 def compute_retry_after(target: Target) -> float:
@@ -307,40 +309,40 @@
     return Ticket(target.last_ticket)
 
 
-def _cap(target: Target) -> float:
+def _find_max_limit(target: Target) -> float:
     if target.phase is Phase.STEADY:
         return target.slots * MAX_LIMIT_PER_SLOT
-    share = min(1.0, target.worked_s / target.warm_up_s) if target.warm_up_s > 0 else 1.0
+    share = min(1.0, target.busy_s / target.warm_up_s) if target.warm_up_s > 0 else 1.0
     return 1.0 + (target.slots - 1) * share
 
 
 def _learn_latency(target: Target, now: float, latency_s: float) -> None:
     gap_s = now - target.last_reply_at
     target.last_reply_at = now
-    if target.recent_s is None:
-        target.recent_s = latency_s
+    if target.recent_latency_s is None:
+        target.recent_latency_s = latency_s
     else:
-        target.recent_s += RECENT_WEIGHT * (latency_s - target.recent_s)
+        target.recent_latency_s += RECENT_WEIGHT * (latency_s - target.recent_latency_s)
     if target.phase is Phase.WARMING:
         target.warming_replies += 1
-        if target.warming_s is None:
-            target.warming_s = latency_s
+        if target.warming_latency_s is None:
+            target.warming_latency_s = latency_s
         weight = max(WARMING_WEIGHT, 1 / target.warming_replies)
-        target.warming_s += weight * (latency_s - target.warming_s)
+        target.warming_latency_s += weight * (latency_s - target.warming_latency_s)
         return
-    if target.normal_s is None:
-        target.normal_s = latency_s
+    if target.normal_latency_s is None:
+        target.normal_latency_s = latency_s
     if target.normal_gap_s is None:
         target.normal_gap_s = min(gap_s, latency_s)
-    if latency_s > SLOW_FACTOR * target.normal_s:
+    if latency_s > SLOW_FACTOR * target.normal_latency_s:
         if target.slow_run == 0:
             target.slow_since = now
         target.slow_run += 1
-        target.normal_s += SLOW_WEIGHT * (latency_s - target.normal_s)
+        target.normal_latency_s += SLOW_WEIGHT * (latency_s - target.normal_latency_s)
         return
     target.slow_run = 0
     target.shed_run = 0
-    target.normal_s += NORMAL_WEIGHT * (latency_s - target.normal_s)
+    target.normal_latency_s += NORMAL_WEIGHT * (latency_s - target.normal_latency_s)
     # An idle hour must not make the usual load look like an increase for the next 100 replies.
     gap_s = min(gap_s, MAX_GAP_FACTOR * target.normal_gap_s)
     target.normal_gap_s += NORMAL_WEIGHT * (gap_s - target.normal_gap_s)
@@ -352,11 +354,15 @@
     Replies that are overdue count as slow ones, since a cold target answers late. Under more load
     replies come faster one after the other; then the target is overloaded rather than cold.
     """
-    if target.phase is Phase.WARMING or target.normal_s is None or target.normal_gap_s is None:
+    if (
+        target.phase is Phase.WARMING
+        or target.normal_latency_s is None
+        or target.normal_gap_s is None
+    ):
         return False
     overdue = 0
     for started_at in target.running.values():
-        if now - started_at <= SLOW_FACTOR * target.normal_s:
+        if now - started_at <= SLOW_FACTOR * target.normal_latency_s:
             break
         overdue += 1
     if target.slow_run + overdue < COLD_RUN:
@@ -369,37 +375,42 @@
     return True
 
 
-def _fall(target: Target, now: float, factor: float) -> None:
+def _decrease_limit(target: Target, now: float, factor: float) -> None:
     # Requests that were admitted before a fall say nothing about the fallen limit.
-    if now - target.last_fall_at < (target.recent_s or 0.0):
+    if now - target.last_decrease_at < (target.recent_latency_s or 0.0):
         return
-    target.last_fall_at = now
+    target.last_decrease_at = now
     target.limit = max(1.0, target.limit * factor)
     if target.phase is Phase.WARMING and target.slots > 1:
-        target.worked_s = (target.limit - 1.0) / (target.slots - 1) * target.warm_up_s
+        target.busy_s = (target.limit - 1.0) / (target.slots - 1) * target.warm_up_s
 
 
-def _grow(target: Target, now: float, started_at: float) -> None:
-    recent_s = target.recent_s
-    if recent_s is None:
+def _increase_limit(target: Target, now: float, started_at: float) -> None:
+    recent_latency_s = target.recent_latency_s
+    if recent_latency_s is None:
         return
     if target.phase is Phase.WARMING:
-        target.worked_s += now - max(target.last_ok_at, started_at)
+        target.busy_s += now - max(target.last_ok_at, started_at)
         target.last_ok_at = now
-        if target.warming_s is not None and target.warming_replies >= 1 / WARMING_WEIGHT:
-            target.best_s = min(target.best_s or target.warming_s, target.warming_s)
-            if target.warming_s > OVERLOAD_FACTOR * target.best_s:
-                _fall(target, now, LATENCY_DECREASE)
+        if target.warming_latency_s is not None and target.warming_replies >= 1 / WARMING_WEIGHT:
+            target.best_warming_latency_s = min(
+                target.best_warming_latency_s or target.warming_latency_s, target.warming_latency_s
+            )
+            if target.warming_latency_s > OVERLOAD_FACTOR * target.best_warming_latency_s:
+                _decrease_limit(target, now, LATENCY_DECREASE)
                 return
-        target.limit = min(target.limit + 1.0 / target.limit, _cap(target))
-        if target.worked_s >= target.warm_up_s and target.limit >= target.slots:
+        target.limit = min(target.limit + 1.0 / target.limit, _find_max_limit(target))
+        if target.busy_s >= target.warm_up_s and target.limit >= target.slots:
             target.phase = Phase.STEADY
-            target.normal_s = target.warming_s
+            target.normal_latency_s = target.warming_latency_s
             target.normal_gap_s = None
         return
-    if target.normal_s is not None and recent_s > OVERLOAD_FACTOR * target.normal_s:
-        _fall(target, now, LATENCY_DECREASE)
+    if (
+        target.normal_latency_s is not None
+        and recent_latency_s > OVERLOAD_FACTOR * target.normal_latency_s
+    ):
+        _decrease_limit(target, now, LATENCY_DECREASE)
         return
     # An unused limit must not grow: nothing shows that the target can bear it.
     if len(target.running) + 1 >= read_limit(target):
-        target.limit = min(target.limit + 1.0 / target.limit, _cap(target))
+        target.limit = min(target.limit + 1.0 / target.limit, _find_max_limit(target))
--- a/src/ebonyvalve/process/message.py
+++ b/src/ebonyvalve/process/message.py
@@ -43,7 +43,7 @@
     token: str
     verdict: str
     status: int
-    at_age_s: float
+    age_s: float
 
 
 class Coverage(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
@@ -107,7 +107,7 @@
     is_suspended: bool = False
     loads: list[ShardLoad] = []
     hot_keys: list[tuple[identity.ServiceId, identity.KeyId, float]] = []
-    crashed: list[Quarantined] = []
+    new_quarantine: list[Quarantined] = []
 
 
 class Renewal(msgspec.Struct, kw_only=True, array_like=True, tag=2):
@@ -151,7 +151,7 @@
     term: identity.Term
     coordinator: identity.NodeId
     address: identity.Address
-    order: int
+    sequence: int
 
 
 class Following(msgspec.Struct, kw_only=True, array_like=True, tag=6):
@@ -168,8 +168,8 @@
 
     term: identity.Term
     shards: list[identity.ShardId]
-    to: identity.Incarnation
-    order: int
+    incarnation: identity.Incarnation
+    sequence: int
 
 
 class Released(msgspec.Struct, kw_only=True, array_like=True, tag=8):
@@ -186,8 +186,8 @@
     term: identity.Term
     holdings: list[Holding]
     memories: list[TokenMemory]
-    to: identity.Incarnation
-    order: int
+    incarnation: identity.Incarnation
+    sequence: int
 
 
 class Granted(msgspec.Struct, kw_only=True, array_like=True, tag=10):
--- a/src/ebonyvalve/process/ownership.py
+++ b/src/ebonyvalve/process/ownership.py
@@ -129,12 +129,12 @@
     is_loaded: bool = False
     # The node stops and hands its role over; it renews no lease.
     is_closing: bool = False
-    order: int = 0
+    last_sequence: int = 0
     memories: dict[identity.ShardId, message.TokenMemory] = dataclasses.field(default_factory=dict)
     collecting: set[identity.NodeId] = dataclasses.field(default_factory=set)
     revoking: set[tuple[identity.NodeId, identity.ShardId]] = dataclasses.field(default_factory=set)
     granting: set[identity.NodeId] = dataclasses.field(default_factory=set)
-    wanted: list[cell.NodeInstance] = dataclasses.field(default_factory=list)
+    wanted_standbys: list[cell.NodeInstance] = dataclasses.field(default_factory=list)
     quarantine: dict[identity.Fingerprint, float] = dataclasses.field(default_factory=dict)
     # What operators see: by node the configuration it has, by shard when and why it changed owner.
     config_versions: dict[identity.NodeId, identity.ConfigVersion] = dataclasses.field(
@@ -142,12 +142,12 @@
     )
     last_moves: dict[identity.ShardId, tuple[float, str]] = dataclasses.field(default_factory=dict)
     store_lock: trio.Lock = dataclasses.field(default_factory=trio.Lock)
-    store_checked_s: float = -math.inf
-    planned_s: float = -math.inf
+    store_responsive_at_s: float = -math.inf
+    planned_at_s: float = -math.inf
     planned_for: tuple[int, int, int] = (-1, -1, -1)
-    wake: trio.Event = dataclasses.field(default_factory=trio.Event)
-    commit: trio.Event = dataclasses.field(default_factory=trio.Event)
-    poll: trio.Event = dataclasses.field(default_factory=trio.Event)
+    plan_due: trio.Event = dataclasses.field(default_factory=trio.Event)
+    commit_due: trio.Event = dataclasses.field(default_factory=trio.Event)
+    poll_due: trio.Event = dataclasses.field(default_factory=trio.Event)
     # Replaced on every change, for those who wait for a condition.
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
 
@@ -165,9 +165,9 @@
     leadership: Leadership | None = None
     nursery: trio.Nursery | None = None
     is_leaving: bool = False
-    body: bytes = b""
-    stepped_down_s: float = -math.inf
-    loads_sent_s: float = -math.inf
+    config_body: bytes = b""
+    stepped_down_at_s: float = -math.inf
+    loads_sent_at_s: float = -math.inf
     releasing: dict[identity.ShardId, PendingRelease] = dataclasses.field(default_factory=dict)
     # Answers to Revoke, kept in case the reply was lost: a shard that was held must not look as
     # if it had never been, or its token memory would be replaced by an empty one.
@@ -176,9 +176,9 @@
     )
     # The heartbeat under way. It is given up when the node follows another coordinator, so that the
     # first heartbeat to that one does not wait for the reply of a lost one.
-    beating: trio.CancelScope = dataclasses.field(default_factory=trio.CancelScope)
-    beat: trio.Event = dataclasses.field(default_factory=trio.Event)
-    search: trio.Event = dataclasses.field(default_factory=trio.Event)
+    heartbeat_scope: trio.CancelScope = dataclasses.field(default_factory=trio.CancelScope)
+    heartbeat_due: trio.Event = dataclasses.field(default_factory=trio.Event)
+    search_due: trio.Event = dataclasses.field(default_factory=trio.Event)
     renewed: trio.Event = dataclasses.field(default_factory=trio.Event)
     consented: trio.Event = dataclasses.field(default_factory=trio.Event)
 
@@ -203,9 +203,9 @@
     async with trio.open_nursery() as nursery:
         state.nursery = nursery
         nursery.start_soon(_announce, state)
-        nursery.start_soon(_beat, state)
+        nursery.start_soon(_send_heartbeats, state)
         nursery.start_soon(_watch_lease, state)
-        nursery.start_soon(_watch_promise, state)
+        nursery.start_soon(_claim_when_promise_ends, state)
         nursery.start_soon(_search, state)
 
 
@@ -215,7 +215,7 @@
     :param state: the node; its loops must be running.
     """
     state.is_leaving = True
-    state.beat.set()
+    state.heartbeat_due.set()
     ports = state.ports
     deadline = timer.now(ports.timer) + LEAVE_TIMEOUT_S
     request = message.Leave(node=state.node.node, incarnation=state.node.incarnation)
@@ -254,7 +254,7 @@
             return _handle_reroute(state, request)
         case message.FetchConfig():
             if request.version == state.node.config_version:
-                return message.Config(version=request.version, body=state.body)
+                return message.Config(version=request.version, body=state.config_body)
             return _refuse(state, "no such configuration")
         case message.Leave():
             return await _handle_leave(state, request)
@@ -297,15 +297,15 @@
     return await state.ports.ask(address, request, timeout_s)
 
 
-def _find_wait(state: State) -> cell.FindGrace:
-    def wait(service: identity.ServiceId) -> float:
+def _make_find_grace(state: State) -> cell.FindGrace:
+    def find_grace(service: identity.ServiceId) -> float:
         traits = state.ports.describe_service(service)
         return 0.0 if traits.checks_fence else traits.deadline_s
 
-    return wait
+    return find_grace
 
 
-def _make_seat(state: State) -> cell.NodeInstance:
+def _make_instance(state: State) -> cell.NodeInstance:
     return cell.make_instance(state.ports.describe_member())
 
 
@@ -350,32 +350,32 @@
         await _sleep(state, RETRY_INTERVAL_S)
 
 
-async def _beat(state: State) -> None:
+async def _send_heartbeats(state: State) -> None:
     refusals = 0
     while True:
         started = _now(state)
-        state.beat = trio.Event()
-        is_refused = await _beat_once(state)
+        state.heartbeat_due = trio.Event()
+        is_refused = await _send_heartbeat(state)
         refusals = refusals + 1 if is_refused else 0
         # A new coordinator refuses until its standbys have consented, which takes a few
         # milliseconds; the next regular heartbeat would come after the lease has lapsed.
         period = FIRST_RETRY_INTERVAL_S * 2**refusals if is_refused else lease.HEARTBEAT_S
-        await _wait_event(state, state.beat, started + min(period, lease.HEARTBEAT_S))
+        await _wait_event(state, state.heartbeat_due, started + min(period, lease.HEARTBEAT_S))
 
 
-async def _beat_once(state: State) -> bool:
+async def _send_heartbeat(state: State) -> bool:
     """Send a heartbeat, and return whether it was refused."""
-    node, beat = lease.begin_heartbeat(state.node, _now(state))
+    node, pending = lease.begin_heartbeat(state.node, _now(state))
     _put_node(state, node)
     if node.coordinator == lease.NOBODY:
-        state.search.set()
+        state.search_due.set()
         return False
     reply: peer.AskResult = result.Failure(peer.PeerFailure.TIMEOUT)
-    with state.beating:
+    with state.heartbeat_scope:
         reply = await _ask(
             state, node.coordinator_address, _make_heartbeat(state), lease.HEARTBEAT_S
         )
-    state.beating = trio.CancelScope()
+    state.heartbeat_scope = trio.CancelScope()
     state.ports.observe_heartbeat(reply)
     renewal = reply.value_or(None)
     if not isinstance(renewal, message.Renewal):
@@ -385,12 +385,12 @@
                 log, logging.INFO, "heartbeat-refused", node=node.node, reason=renewal.reason
             )
         if _now(state) - state.renewed_at_s > lease.HEARTBEAT_S:
-            state.search.set()
+            state.search_due.set()
         return is_refused
-    node, outcome = lease.apply_renewal(state.node, beat, renewal, _now(state))
+    node, outcome = lease.apply_renewal(state.node, pending, renewal, _now(state))
     if outcome is lease.RenewalState.NEEDS_CONFIG:
         await _fetch_config(state, renewal.config_version)
-        node, outcome = lease.apply_renewal(state.node, beat, renewal, _now(state))
+        node, outcome = lease.apply_renewal(state.node, pending, renewal, _now(state))
     _put_node(state, node)
     if outcome is lease.RenewalState.APPLIED:
         state.renewed_at_s = _now(state)
@@ -403,9 +403,9 @@
     member = ports.describe_member()
     if state.is_leaving:
         member = msgspec.structs.replace(member, is_leaving=True)
-    has_loads = _now(state) - state.loads_sent_s >= LOAD_REPORT_INTERVAL_S
+    has_loads = _now(state) - state.loads_sent_at_s >= LOAD_REPORT_INTERVAL_S
     if has_loads:
-        state.loads_sent_s = _now(state)
+        state.loads_sent_at_s = _now(state)
     return message.Heartbeat(
         member=member,
         term=state.node.term,
@@ -416,7 +416,7 @@
         is_suspended=any(map(lease.is_suspended, state.node.holdings.values())),
         loads=ports.collect_loads() if has_loads else [],
         hot_keys=ports.collect_hot_keys() if has_loads else [],
-        crashed=ports.collect_new_quarantine(),
+        new_quarantine=ports.collect_new_quarantine(),
     )
 
 
@@ -454,7 +454,7 @@
     if version <= state.node.config_version:
         return
     state.ports.adopt_config(version, body)
-    state.body = body
+    state.config_body = body
     _put_node(state, lease.adopt_config(state.node, version))
     decision.record(log, logging.INFO, "config-adopted", node=state.node.node, version=version)
 
@@ -472,23 +472,23 @@
 def _handle_follow(state: State, request: message.Follow) -> message.Message:
     if request.term < state.node.term:
         return _refuse(state, "lower term")
-    own = state.ports.describe_member()
-    if request.coordinator == own.node and (
+    member = state.ports.describe_member()
+    if request.coordinator == member.node and (
         state.leadership is None or state.leadership.rules.row.term != request.term
     ):
         # The coordinator that stops has named this node its successor in the cell row.
-        state.search.set()
+        state.search_due.set()
         return message.Done()
     _follow(
         state,
         term=request.term,
         coordinator=request.coordinator,
         address=request.address,
-        order=request.order,
+        sequence=request.sequence,
     )
-    state.beat.set()
+    state.heartbeat_due.set()
     return message.Following(
-        member=own,
+        member=member,
         term=state.node.term,
         holdings=lease.list_holdings(state.node),
         config_version=state.node.config_version,
@@ -501,10 +501,10 @@
     term: identity.Term,
     coordinator: identity.NodeId,
     address: identity.Address,
-    order: int,
+    sequence: int,
 ) -> None:
     if term > state.node.term:
-        state.beating.cancel()
+        state.heartbeat_scope.cancel()
         for pending in state.releasing.values():
             pending.scope.cancel()
         state.released.clear()
@@ -518,7 +518,7 @@
         term=term,
         coordinator=coordinator,
         address=address,
-        order=order,
+        sequence=sequence,
         now=_now(state),
     )
     _put_node(state, node)
@@ -575,11 +575,11 @@
         if holding.shard in state.releasing:
             state.releasing[holding.shard].scope.cancel()
         state.released.pop(holding.shard, None)
-        _place_memory(state, before, holding, memories.get(holding.shard))
+        _update_memory(state, before, holding, memories.get(holding.shard))
     return message.Granted(term=request.term)
 
 
-def _place_memory(
+def _update_memory(
     state: State, before: lease.Node, holding: message.Holding, memory: message.TokenMemory | None
 ) -> None:
     """Put the token memory of a granted shard in place.
@@ -598,7 +598,7 @@
         ports.inherit(message.Holding(shard=holding.shard, fence=held.fence), holding)
     elif not is_kept:
         ports.forget([holding.shard])
-        _inherit_partition(state, before, holding)
+        _inherit_from_partition(state, before, holding)
     for key in lease.list_merged_keys(before, holding):
         service = identity.split_shard(holding.shard)[0]
         shard = identity.name_key(service, key)
@@ -608,7 +608,7 @@
             ports.forget([shard])
 
 
-def _inherit_partition(state: State, before: lease.Node, holding: message.Holding) -> None:
+def _inherit_from_partition(state: State, before: lease.Node, holding: message.Holding) -> None:
     key = identity.split_shard(holding.shard)[2]
     if key is None:
         return
@@ -633,7 +633,7 @@
 
 def _handle_consent(state: State, request: message.AskConsent) -> message.Message:
     standby = cell.give_consent(
-        state.standby, seen=state.node.term, asked=request.term, now=_now(state)
+        state.standby, followed_term=state.node.term, requested_term=request.term, now=_now(state)
     )
     if standby is None:
         return _refuse(state, "no consent")
@@ -642,7 +642,7 @@
     return message.Consent(term=request.term)
 
 
-async def _watch_promise(state: State) -> None:
+async def _claim_when_promise_ends(state: State) -> None:
     """Claim the cell when the coordinator stops asking for consent."""
     while True:
         promised = state.standby.promised_until_s
@@ -655,8 +655,8 @@
         if promised > -math.inf and state.leadership is None and not state.is_leaving:
             row, version, read_at = await _read_cell(state)
             await timer.wait_until(state.ports.timer, promised)
-            is_seated = row is not None and _make_seat(state) in row.standbys
-            if is_seated and state.standby.promised_until_s == promised:
+            is_standby = row is not None and _make_instance(state) in row.standbys
+            if is_standby and state.standby.promised_until_s == promised:
                 await _claim(state, row, version, read_at, {})
         if state.standby.promised_until_s == promised:
             await state.consented.wait()
@@ -682,40 +682,40 @@
     """Find the coordinator in the cell row when heartbeats fail."""
     pause_s = RETRY_INTERVAL_S
     while True:
-        await state.search.wait()
-        state.search = trio.Event()
+        await state.search_due.wait()
+        state.search_due = trio.Event()
         row, version, read_at = await _read_cell(state)
         if version >= 0:
             pause_s = RETRY_INTERVAL_S
-            await _consider_row(state, row, version, read_at)
+            await _follow_or_claim(state, row, version, read_at)
         else:
             pause_s = min(2 * pause_s, MAX_SEARCH_INTERVAL_S)
         await _sleep(state, pause_s)
 
 
-async def _consider_row(
+async def _follow_or_claim(
     state: State, row: cell.CellRow | None, version: int, read_at: float
 ) -> None:
-    seat = _make_seat(state)
+    instance = _make_instance(state)
     if state.leadership is not None or state.is_leaving or state.standby.is_claiming:
         return
     if row is not None and row.term > state.node.term:
-        if row.coordinator == seat:
-            await _take_up(state, row, version, lease.compute_lease_end(_now(state)))
+        if row.coordinator == instance:
+            await _become_coordinator(state, row, version, lease.compute_lease_end(_now(state)))
             return
         _follow(
             state,
             term=row.term,
             coordinator=row.coordinator.node,
             address=row.coordinator.address,
-            order=0,
+            sequence=0,
         )
-        state.beat.set()
+        state.heartbeat_due.set()
     since = max(state.renewed_at_s, state.standby.promised_until_s)
     if row is None:
         await _claim(state, row, version, read_at, {})
-    elif row.coordinator == seat:
-        if _now(state) - state.stepped_down_s > RECLAIM_DELAY_S:
+    elif row.coordinator == instance:
+        if _now(state) - state.stepped_down_at_s > RECLAIM_DELAY_S:
             await _claim(state, row, version, read_at, {})
     elif _now(state) - since > CLAIM_DELAY_S:
         rows = (await state.ports.table.scan("node/")).value_or({})
@@ -731,10 +731,10 @@
     read_at: float,
     announced: dict[identity.NodeId, identity.Incarnation],
 ) -> None:
-    seat = _make_seat(state)
+    instance = _make_instance(state)
     bound = cell.find_lease_bound(
         row,
-        seat=seat,
+        instance=instance,
         standby=state.standby,
         announced=announced,
         read_at_s=read_at,
@@ -742,14 +742,14 @@
     )
     if bound is None or state.standby.is_claiming:
         return
-    claimed = cell.claim(row, seat, state.node.term)
+    claimed = cell.claim(row, instance, state.node.term)
     state.standby = dataclasses.replace(state.standby, is_claiming=True)
     is_ours, version = await _write_cell(state, claimed, version)
     state.standby = dataclasses.replace(state.standby, is_claiming=False)
     if is_ours:
-        await _take_up(state, claimed, version, bound)
+        await _become_coordinator(state, claimed, version, bound)
     else:
-        state.search.set()
+        state.search_due.set()
 
 
 async def _write_cell(state: State, row: cell.CellRow, version: int) -> tuple[bool, int]:
@@ -771,62 +771,62 @@
         await _sleep(state, RETRY_INTERVAL_S)
 
 
-async def _take_up(state: State, row: cell.CellRow, version: int, bound: float) -> None:
+async def _become_coordinator(state: State, row: cell.CellRow, version: int, bound: float) -> None:
     member = state.ports.describe_member()
-    seat = _make_seat(state)
-    _follow(state, term=row.term, coordinator=seat.node, address=seat.address, order=0)
+    instance = _make_instance(state)
+    _follow(state, term=row.term, coordinator=instance.node, address=instance.address, sequence=0)
     rules = cell.open_coordinator(
         row,
         cell=state.cell_id,
-        seat=seat,
+        instance=instance,
         zone=member.zone,
         version=version,
         unknown_until_s=bound,
         now=_now(state),
     )
-    decision.record(log, logging.WARNING, "claimed", node=seat.node, term=row.term)
+    decision.record(log, logging.WARNING, "claimed", node=instance.node, term=row.term)
     if state.nursery is not None:
-        await state.nursery.start(_coordinate, state, rules)
+        await state.nursery.start(_run_coordinator, state, rules)
 
 
 # The coordinator
 
 
-async def _coordinate(
+async def _run_coordinator(
     state: State,
     rules: cell.Coordinator,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        duty = Leadership(rules=rules, scope=nursery.cancel_scope, nursery=nursery)
-        state.leadership = duty
+        leadership = Leadership(rules=rules, scope=nursery.cancel_scope, nursery=nursery)
+        state.leadership = leadership
         task_status.started()
-        nursery.start_soon(_ask_consents, state, duty)
-        await _load(state, duty)
-        nursery.start_soon(_poll_head, state, duty)
-        nursery.start_soon(_lead, state, duty)
-        nursery.start_soon(_commit_moves, state, duty)
-        state.beat.set()
+        nursery.start_soon(_ask_consents, state, leadership)
+        await _load_assignments(state, leadership)
+        nursery.start_soon(_poll_head, state, leadership)
+        nursery.start_soon(_assign_shards, state, leadership)
+        nursery.start_soon(_commit_moves, state, leadership)
+        state.heartbeat_due.set()
 
 
-def _step_down(state: State, duty: Leadership, reason: str) -> None:
-    if state.leadership is not duty:
+def _step_down(state: State, leadership: Leadership, reason: str) -> None:
+    if state.leadership is not leadership:
         return
     decision.record(
         log,
         logging.WARNING,
         "stepped-down",
         node=state.node.node,
-        term=duty.rules.row.term,
+        term=leadership.rules.row.term,
         reason=reason,
     )
     state.leadership = None
-    state.stepped_down_s = _now(state)
-    duty.scope.cancel()
-    state.search.set()
+    state.stepped_down_at_s = _now(state)
+    leadership.scope.cancel()
+    state.search_due.set()
 
 
-async def _load(state: State, duty: Leadership) -> None:
+async def _load_assignments(state: State, leadership: Leadership) -> None:
     table = state.ports.table
     rows: dict[str, platform.Row] = {}
     nodes: dict[str, platform.Row] = {}
@@ -844,89 +844,96 @@
         nursery.start_soon(scan, "hot/", rows)
         nursery.start_soon(scan, "node/", nodes)
     found = {name: (row.value, row.version) for name, row in rows.items()}
-    rules = cell.load_rows(duty.rules, found, _find_wait(state))
-    duty.rules = dataclasses.replace(rules, config_version=state.node.config_version)
-    duty.is_loaded = True
-    duty.wanted = duty.rules.row.standbys
+    rules = cell.load_rows(leadership.rules, found, _make_find_grace(state))
+    leadership.rules = dataclasses.replace(rules, config_version=state.node.config_version)
+    leadership.is_loaded = True
+    leadership.wanted_standbys = leadership.rules.row.standbys
     members = cell.read_members(nodes)
     addresses = {member.node: member.peer_address for member in members}
     addresses |= {node: member.peer_address for node, member in state.node.members.items()}
     for node, address in addresses.items():
         if node != state.node.node:
-            _start_collect(state, duty, node, address)
+            _start_collect(state, leadership, node, address)
 
 
-def _wake(duty: Leadership) -> None:
-    duty.wake.set()
-    duty.changed.set()
-    duty.changed = trio.Event()
+def _notify_changed(leadership: Leadership) -> None:
+    leadership.plan_due.set()
+    leadership.changed.set()
+    leadership.changed = trio.Event()
 
 
-def _next_order(duty: Leadership) -> int:
-    duty.order += 1
-    return duty.order
+def _next_sequence(leadership: Leadership) -> int:
+    leadership.last_sequence += 1
+    return leadership.last_sequence
 
 
-def _handle_heartbeat(state: State, beat: message.Heartbeat) -> message.Message:
-    duty = state.leadership
-    if duty is None or not duty.is_loaded:
+def _handle_heartbeat(state: State, heartbeat: message.Heartbeat) -> message.Message:
+    leadership = state.leadership
+    if leadership is None or not leadership.is_loaded:
         return _refuse(state, "not coordinator")
-    _expire(state, duty)
-    duty.rules, answer = cell.handle_heartbeat(duty.rules, beat, _now(state))
-    duty.config_versions[beat.member.node] = beat.config_version
-    if duty.is_closing:
+    _expire_leases(state, leadership)
+    leadership.rules, answer = cell.handle_heartbeat(leadership.rules, heartbeat, _now(state))
+    leadership.config_versions[heartbeat.member.node] = heartbeat.config_version
+    if leadership.is_closing:
         return _refuse(state, "handing over")
     if answer is cell.HeartbeatAnswer.RENEW:
-        return _renew(state, duty, beat)
+        return _renew(state, leadership, heartbeat)
     if answer is cell.HeartbeatAnswer.COLLECT:
-        _start_collect(state, duty, beat.member.node, beat.member.peer_address)
+        _start_collect(state, leadership, heartbeat.member.node, heartbeat.member.peer_address)
     elif answer is cell.HeartbeatAnswer.SUPERSEDED:
-        _step_down(state, duty, "higher term")
+        _step_down(state, leadership, "higher term")
     elif answer is cell.HeartbeatAnswer.BEHIND_CONFIG:
-        duty.poll.set()
+        leadership.poll_due.set()
     return _refuse(state, answer.value)
 
 
-def _renew(state: State, duty: Leadership, beat: message.Heartbeat) -> message.Message:
+def _renew(state: State, leadership: Leadership, heartbeat: message.Heartbeat) -> message.Message:
     now = _now(state)
-    for entry in beat.crashed:
+    for entry in heartbeat.new_quarantine:
         until = now + entry.remaining_s
-        known = duty.quarantine.get(entry.fingerprint, -math.inf)
-        duty.quarantine[entry.fingerprint] = max(until, known)
-    duty.quarantine = {print_: until for print_, until in duty.quarantine.items() if until > now}
-    if (duty.rules.members_version, duty.rules.config_version) != duty.planned_for[:2]:
-        _wake(duty)
+        known = leadership.quarantine.get(entry.fingerprint, -math.inf)
+        leadership.quarantine[entry.fingerprint] = max(until, known)
+    leadership.quarantine = {
+        fingerprint: until for fingerprint, until in leadership.quarantine.items() if until > now
+    }
+    if (
+        leadership.rules.members_version,
+        leadership.rules.config_version,
+    ) != leadership.planned_for[:2]:
+        _notify_changed(leadership)
     entries = [
-        message.Quarantined(fingerprint=print_, remaining_s=until - now)
-        for print_, until in duty.quarantine.items()
+        message.Quarantined(fingerprint=fingerprint, remaining_s=until - now)
+        for fingerprint, until in leadership.quarantine.items()
     ]
-    return cell.build_renewal(duty.rules, beat, entries)
+    return cell.build_renewal(leadership.rules, heartbeat, entries)
 
 
 def _start_collect(
-    state: State, duty: Leadership, node: identity.NodeId, address: identity.Address
+    state: State, leadership: Leadership, node: identity.NodeId, address: identity.Address
 ) -> None:
-    if node not in duty.collecting:
-        duty.collecting.add(node)
-        duty.nursery.start_soon(_collect, state, duty, node, address)
+    if node not in leadership.collecting:
+        leadership.collecting.add(node)
+        leadership.nursery.start_soon(_collect, state, leadership, node, address)
 
 
 async def _collect(
-    state: State, duty: Leadership, node: identity.NodeId, address: identity.Address
+    state: State, leadership: Leadership, node: identity.NodeId, address: identity.Address
 ) -> None:
-    own = _make_seat(state)
+    instance = _make_instance(state)
     request = message.Follow(
-        term=duty.rules.row.term,
-        coordinator=own.node,
-        address=own.address,
-        order=_next_order(duty),
+        term=leadership.rules.row.term,
+        coordinator=instance.node,
+        address=instance.address,
+        sequence=_next_sequence(leadership),
     )
     reply = (await _ask(state, address, request, ASK_TIMEOUT_S)).value_or(None)
-    duty.collecting.discard(node)
+    leadership.collecting.discard(node)
     if isinstance(reply, message.Following) and reply.term == request.term:
-        if reply.member.node in duty.rules.leases:
+        if reply.member.node in leadership.rules.leases:
             return
-        duty.rules = cell.record_holdings(duty.rules, reply, state.ports.find_parent, _now(state))
+        leadership.rules = cell.record_holdings(
+            leadership.rules, reply, state.ports.find_parent, _now(state)
+        )
         decision.record(
             log,
             logging.INFO,
@@ -935,56 +942,59 @@
             holdings=len(reply.holdings),
             term=request.term,
         )
-        if reply.config_version > duty.rules.config_version:
-            duty.poll.set()
-        _wake(duty)
+        if reply.config_version > leadership.rules.config_version:
+            leadership.poll_due.set()
+        _notify_changed(leadership)
     elif isinstance(reply, message.Refused) and reply.term > request.term:
-        _step_down(state, duty, "higher term")
+        _step_down(state, leadership, "higher term")
 
 
-def _expire(state: State, duty: Leadership) -> None:
-    duty.rules, lost = cell.expire(duty.rules, _find_wait(state), _now(state))
+def _expire_leases(state: State, leadership: Leadership) -> None:
+    leadership.rules, lost = cell.expire(leadership.rules, _make_find_grace(state), _now(state))
     if lost:
-        _drop_memories(duty)
+        _drop_stale_memories(leadership)
         decision.record(log, logging.WARNING, "leases-expired", nodes=",".join(lost))
-        _wake(duty)
+        _notify_changed(leadership)
 
 
-def _drop_memories(duty: Leadership) -> None:
+def _drop_stale_memories(leadership: Leadership) -> None:
     """Drop memories of shards that somebody has held since and used tokens that they lack."""
-    assigned = duty.rules.assignments
-    duty.memories = {
+    assigned = leadership.rules.assignments
+    leadership.memories = {
         shard: memory
-        for shard, memory in duty.memories.items()
-        if shard in assigned and assigned[shard].is_ready
+        for shard, memory in leadership.memories.items()
+        if shard in assigned and assigned[shard].is_grantable
     }
 
 
-async def _ask_consents(state: State, duty: Leadership) -> None:
+async def _ask_consents(state: State, leadership: Leadership) -> None:
     subscription = timer.subscribe(state.ports.timer, period_s=lease.CONSENT_PERIOD_S)
     while True:
-        if cell.should_step_down(duty.rules, _now(state)):
-            _step_down(state, duty, "nodes silent")
+        if cell.should_step_down(leadership.rules, _now(state)):
+            _step_down(state, leadership, "nodes silent")
             return
-        if duty.is_loaded:
-            duty.wanted = cell.choose_standbys(duty.rules, _now(state))
-        asked = {seat.node: seat for seat in [*cell.list_required(duty.rules), *duty.wanted]}
-        for seat in asked.values():
-            duty.nursery.start_soon(_ask_consent, state, duty, seat)
+        if leadership.is_loaded:
+            leadership.wanted_standbys = cell.choose_standbys(leadership.rules, _now(state))
+        asked = {
+            standby.node: standby
+            for standby in [*cell.list_required(leadership.rules), *leadership.wanted_standbys]
+        }
+        for standby in asked.values():
+            leadership.nursery.start_soon(_ask_consent, state, leadership, standby)
         await timer.tick(state.ports.timer, subscription)
 
 
-async def _ask_consent(state: State, duty: Leadership, seat: cell.NodeInstance) -> None:
+async def _ask_consent(state: State, leadership: Leadership, standby: cell.NodeInstance) -> None:
     request = message.AskConsent(
-        term=duty.rules.row.term,
-        coordinator=duty.rules.seat.node,
-        incarnation=duty.rules.seat.incarnation,
+        term=leadership.rules.row.term,
+        coordinator=leadership.rules.instance.node,
+        incarnation=leadership.rules.instance.incarnation,
     )
     until = _now(state) + lease.CONSENT_PERIOD_S
     retry_s = FIRST_RETRY_INTERVAL_S
     while True:
         sent_at = _now(state)
-        reply = (await _ask(state, seat.address, request, ASK_TIMEOUT_S)).value_or(None)
+        reply = (await _ask(state, standby.address, request, ASK_TIMEOUT_S)).value_or(None)
         retry_s *= 2
         # A standby that lost the race for the claim refuses until it has read the row back.
         is_refused = isinstance(reply, message.Refused) and reply.term <= request.term
@@ -992,91 +1002,95 @@
             break
         await _sleep(state, retry_s)
     if isinstance(reply, message.Consent) and reply.term == request.term:
-        duty.rules = cell.record_consent(duty.rules, seat.node, sent_at)
-        await _replace_standbys(state, duty)
+        leadership.rules = cell.record_consent(leadership.rules, standby.node, sent_at)
+        await _replace_standbys(state, leadership)
     elif isinstance(reply, message.Refused) and reply.term > request.term:
-        _step_down(state, duty, "higher term")
+        _step_down(state, leadership, "higher term")
     else:
-        await _replace_standbys(state, duty)
+        await _replace_standbys(state, leadership)
 
 
-async def _replace_standbys(state: State, duty: Leadership) -> None:
+async def _replace_standbys(state: State, leadership: Leadership) -> None:
     """Write the wanted standbys to the cell row once all of them have consented."""
-    wanted = duty.wanted
-    is_same = {seat.node: seat for seat in wanted} == {
-        seat.node: seat for seat in duty.rules.row.standbys
+    wanted = leadership.wanted_standbys
+    is_same = {standby.node: standby for standby in wanted} == {
+        standby.node: standby for standby in leadership.rules.row.standbys
     }
-    has_consent = lease.may_renew(duty.rules.consents, [seat.node for seat in wanted], _now(state))
-    if is_same or not has_consent or not duty.is_loaded or duty.is_closing:
+    has_consent = lease.may_renew(
+        leadership.rules.consents, [standby.node for standby in wanted], _now(state)
+    )
+    if is_same or not has_consent or not leadership.is_loaded or leadership.is_closing:
         return
-    if duty.store_lock.locked():
+    if leadership.store_lock.locked():
         return
-    async with duty.store_lock:
-        duty.rules, row = cell.propose_standbys(duty.rules, wanted)
-        version = duty.rules.versions[cell.name_cell_row(state.cell_id)]
+    async with leadership.store_lock:
+        leadership.rules, row = cell.propose_standbys(leadership.rules, wanted)
+        version = leadership.rules.row_versions[cell.name_cell_row(state.cell_id)]
         is_ours, version = await _write_cell(state, row, version)
         if not is_ours:
-            _step_down(state, duty, "cell row changed")
+            _step_down(state, leadership, "cell row changed")
             return
-        duty.rules = cell.record_cell_row(duty.rules, row, version)
-        names = ",".join(seat.node for seat in row.standbys)
+        leadership.rules = cell.record_cell_row(leadership.rules, row, version)
+        names = ",".join(standby.node for standby in row.standbys)
         decision.record(log, logging.WARNING, "standbys", term=row.term, standbys=names)
     # Nodes that waited for consent need not wait for their next heartbeat here.
-    state.beat.set()
-    _wake(duty)
+    state.heartbeat_due.set()
+    _notify_changed(leadership)
 
 
-async def _poll_head(state: State, duty: Leadership) -> None:
+async def _poll_head(state: State, leadership: Leadership) -> None:
     while True:
         due = _now(state) + HEAD_POLL_INTERVAL_S
-        duty.poll = trio.Event()
+        leadership.poll_due = trio.Event()
         row, version, asked_at = await _read_cell(state)
         if version >= 0:
-            if row is None or row.term != duty.rules.row.term:
-                _step_down(state, duty, "cell row changed")
+            if row is None or row.term != leadership.rules.row.term:
+                _step_down(state, leadership, "cell row changed")
                 return
             if _now(state) - asked_at < SLOW_STORE_S:
-                duty.store_checked_s = _now(state)
+                leadership.store_responsive_at_s = _now(state)
         head = await _read_head(state)
         if head is not None and head.version > state.node.config_version:
             await _fetch_body(state, head)
-        if state.node.config_version > duty.rules.config_version:
-            duty.rules = dataclasses.replace(duty.rules, config_version=state.node.config_version)
-            _wake(duty)
-        await _wait_event(state, duty.poll, due)
+        if state.node.config_version > leadership.rules.config_version:
+            leadership.rules = dataclasses.replace(
+                leadership.rules, config_version=state.node.config_version
+            )
+            _notify_changed(leadership)
+        await _wait_event(state, leadership.poll_due, due)
 
 
-async def _lead(state: State, duty: Leadership) -> None:
+async def _assign_shards(state: State, leadership: Leadership) -> None:
     """Plan, revoke and grant whenever something has changed."""
     while True:
-        duty.wake = trio.Event()
-        _expire(state, duty)
-        _plan(state, duty)
-        actions = cell.list_actions(duty.rules, _now(state))
+        leadership.plan_due = trio.Event()
+        _expire_leases(state, leadership)
+        _plan(state, leadership)
+        actions = cell.list_actions(leadership.rules, _now(state))
         for node, shard in actions.revokes:
-            if (node, shard) not in duty.revoking:
-                duty.revoking.add((node, shard))
-                duty.nursery.start_soon(_revoke, state, duty, node, shard)
+            if (node, shard) not in leadership.revoking:
+                leadership.revoking.add((node, shard))
+                leadership.nursery.start_soon(_revoke, state, leadership, node, shard)
         for node, holdings in actions.grants.items():
-            if node not in duty.granting:
-                duty.granting.add(node)
-                duty.rules = cell.record_grant_sent(duty.rules, node, holdings)
-                duty.nursery.start_soon(_grant, state, duty, node, holdings)
-        duty.commit.set()
-        await _wait_event(state, duty.wake, _find_next(state, duty))
+            if node not in leadership.granting:
+                leadership.granting.add(node)
+                leadership.rules = cell.record_grant_sent(leadership.rules, node, holdings)
+                leadership.nursery.start_soon(_grant, state, leadership, node, holdings)
+        leadership.commit_due.set()
+        await _wait_event(state, leadership.plan_due, _find_next_check(state, leadership))
 
 
-def _find_next(state: State, duty: Leadership) -> float:
+def _find_next_check(state: State, leadership: Leadership) -> float:
     now = _now(state)
-    times = [known.end_s for known in duty.rules.leases.values()]
-    times += [entry.free_at_s for entry in duty.rules.assignments.values()]
-    times += [duty.rules.unknown_until_s, now + PLAN_INTERVAL_S]
+    times = [known.end_s for known in leadership.rules.leases.values()]
+    times += [entry.free_at_s for entry in leadership.rules.assignments.values()]
+    times += [leadership.rules.unknown_until_s, now + PLAN_INTERVAL_S]
     return min(at for at in times if at > now)
 
 
-def _summarise(duty: Leadership, now: float) -> tuple[int, int, int]:
+def _summarise_plan_inputs(leadership: Leadership, now: float) -> tuple[int, int, int]:
     """Return what calls for a new plan at once when it changes."""
-    rules = duty.rules
+    rules = leadership.rules
     orphans = sum(
         not entry.holders and entry.target is None and now >= entry.free_at_s
         for entry in rules.assignments.values()
@@ -1084,43 +1098,43 @@
     return rules.members_version, rules.config_version, orphans
 
 
-def _plan(state: State, duty: Leadership) -> None:
+def _plan(state: State, leadership: Leadership) -> None:
     now = _now(state)
-    if now < duty.rules.unknown_until_s:
+    if now < leadership.rules.unknown_until_s:
         return
-    summary = _summarise(duty, now)
-    if summary == duty.planned_for and now - duty.planned_s < PLAN_INTERVAL_S:
+    summary = _summarise_plan_inputs(leadership, now)
+    if summary == leadership.planned_for and now - leadership.planned_at_s < PLAN_INTERVAL_S:
         return
-    duty.planned_for, duty.planned_s = summary, now
+    leadership.planned_for, leadership.planned_at_s = summary, now
     shards = state.ports.list_shards()
-    duty.rules = cell.add_unassigned(duty.rules, shards)
-    if now < duty.rules.since_s + DISCOVERY_S and _is_unassigned(duty):
+    leadership.rules = cell.add_unassigned(leadership.rules, shards)
+    if now < leadership.rules.started_at_s + DISCOVERY_S and _is_unassigned(leadership):
         return
-    view = cell.build_view(duty.rules, shards, now)
+    view = cell.build_view(leadership.rules, shards, now)
     if not view.members or not view.owners:
         return
     plan = state.ports.place(view)
-    if now - duty.store_checked_s > 2 * HEAD_POLL_INTERVAL_S:
+    if now - leadership.store_responsive_at_s > 2 * HEAD_POLL_INTERVAL_S:
         orphaned = [move for move in plan.moves if view.owners.get(move.shard) is None]
         plan = assignment.Plan(split=[], merge=[], moves=orphaned)
-    duty.rules = cell.apply_plan(duty.rules, plan, state.ports.find_parent, now)
+    leadership.rules = cell.apply_plan(leadership.rules, plan, state.ports.find_parent, now)
 
 
-def _is_unassigned(duty: Leadership) -> bool:
-    return all(entry.fence == 0 for entry in duty.rules.assignments.values())
+def _is_unassigned(leadership: Leadership) -> bool:
+    return all(entry.fence == 0 for entry in leadership.rules.assignments.values())
 
 
 async def _revoke(
-    state: State, duty: Leadership, node: identity.NodeId, shard: identity.ShardId
+    state: State, leadership: Leadership, node: identity.NodeId, shard: identity.ShardId
 ) -> None:
-    known = duty.rules.leases.get(node)
+    known = leadership.rules.leases.get(node)
     reply: message.Message | None = None
     if known is not None:
         request = message.Revoke(
-            term=duty.rules.row.term,
+            term=leadership.rules.row.term,
             shards=[shard],
-            to=known.member.incarnation,
-            order=_next_order(duty),
+            incarnation=known.member.incarnation,
+            sequence=_next_sequence(leadership),
         )
         address = known.member.peer_address
         reply = (await _ask(state, address, request, RELEASE_TIMEOUT_S)).value_or(None)
@@ -1128,77 +1142,77 @@
         memories = {memory.shard: memory for memory in reply.memories}
         was_held = any(holding.shard == shard for holding in reply.holdings)
         if was_held:
-            duty.memories.pop(shard, None)
-        duty.memories.update(memories)
+            leadership.memories.pop(shard, None)
+        leadership.memories.update(memories)
         has_memory = not was_held or shard in memories
-        duty.rules = cell.record_release(duty.rules, node, shard, has_memory=has_memory)
-        _drop_memories(duty)
+        leadership.rules = cell.record_release(leadership.rules, node, shard, has_memory=has_memory)
+        _drop_stale_memories(leadership)
     else:
         await _sleep(state, RETRY_INTERVAL_S)
-    duty.revoking.discard((node, shard))
-    _wake(duty)
+    leadership.revoking.discard((node, shard))
+    _notify_changed(leadership)
 
 
 async def _grant(
-    state: State, duty: Leadership, node: identity.NodeId, holdings: list[message.Holding]
+    state: State, leadership: Leadership, node: identity.NodeId, holdings: list[message.Holding]
 ) -> None:
-    known = duty.rules.leases.get(node)
+    known = leadership.rules.leases.get(node)
     reply: message.Message | None = None
     if known is not None:
         request = message.Grant(
-            term=duty.rules.row.term,
+            term=leadership.rules.row.term,
             holdings=holdings,
             memories=[
-                duty.memories[holding.shard]
+                leadership.memories[holding.shard]
                 for holding in holdings
-                if holding.shard in duty.memories
+                if holding.shard in leadership.memories
             ],
-            to=known.member.incarnation,
-            order=_next_order(duty),
+            incarnation=known.member.incarnation,
+            sequence=_next_sequence(leadership),
         )
         reply = (await _ask(state, known.member.peer_address, request, ASK_TIMEOUT_S)).value_or(
             None
         )
     if isinstance(reply, message.Granted):
-        duty.rules = cell.record_grant_accepted(duty.rules, node, holdings)
+        leadership.rules = cell.record_grant_accepted(leadership.rules, node, holdings)
         for holding in holdings:
-            duty.memories.pop(holding.shard, None)
+            leadership.memories.pop(holding.shard, None)
     else:
         await _sleep(state, RETRY_INTERVAL_S)
-    duty.granting.discard(node)
-    _wake(duty)
+    leadership.granting.discard(node)
+    _notify_changed(leadership)
 
 
-async def _commit_moves(state: State, duty: Leadership) -> None:
+async def _commit_moves(state: State, leadership: Leadership) -> None:
     while True:
-        await duty.commit.wait()
-        duty.commit = trio.Event()
-        async with duty.store_lock:
-            transaction = cell.build_transaction(duty.rules, _now(state))
-            if transaction is not None and not duty.is_closing:
-                await _commit(state, duty, transaction)
+        await leadership.commit_due.wait()
+        leadership.commit_due = trio.Event()
+        async with leadership.store_lock:
+            transaction = cell.build_transaction(leadership.rules, _now(state))
+            if transaction is not None and not leadership.is_closing:
+                await _commit(state, leadership, transaction)
 
 
-async def _commit(state: State, duty: Leadership, transaction: cell.Transaction) -> None:
+async def _commit(state: State, leadership: Leadership, transaction: cell.Transaction) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_undo_late, state, duty)
+        nursery.start_soon(_cancel_late_moves, state, leadership)
         outcome = platform.CommitState.UNKNOWN
         with trio.move_on_after(STORE_TIMEOUT_S):
             outcome = await state.ports.table.commit(transaction.expected, transaction.writes)
         is_ours = outcome is platform.CommitState.COMMITTED
         if is_ours:
-            duty.rules = cell.record_commit(duty.rules, transaction)
+            leadership.rules = cell.record_commit(leadership.rules, transaction)
         else:
-            is_ours = await _read_back(state, duty, transaction)
+            is_ours = await _read_back(state, leadership, transaction)
         nursery.cancel_scope.cancel()
     if is_ours:
-        duty.rules = cell.apply_changes(duty.rules, transaction.changes)
-        _log_changes(state, duty, transaction.changes)
-        _send_routes(state, duty, transaction.changes)
-    _wake(duty)
+        leadership.rules = cell.apply_changes(leadership.rules, transaction.changes)
+        _log_changes(state, leadership, transaction.changes)
+        _send_routes(state, leadership, transaction.changes)
+    _notify_changed(leadership)
 
 
-async def _undo_late(state: State, duty: Leadership) -> None:
+async def _cancel_late_moves(state: State, leadership: Leadership) -> None:
     """Give shards back to their owners while a commit is late; it may still take effect.
 
     This includes shards that are being released for the next commit.
@@ -1206,16 +1220,18 @@
     await _sleep(state, LATE_COMMIT_S)
     planned = [
         shard
-        for shard, entry in duty.rules.assignments.items()
-        if entry.target is not None and entry.is_ready and entry.owner in duty.rules.leases
+        for shard, entry in leadership.rules.assignments.items()
+        if entry.target is not None
+        and entry.is_grantable
+        and entry.owner in leadership.rules.leases
     ]
-    duty.rules = cell.cancel_moves(duty.rules, planned)
+    leadership.rules = cell.cancel_moves(leadership.rules, planned)
     decision.record(log, logging.WARNING, "commit-late", shards=len(planned))
-    duty.store_checked_s = -math.inf
-    _wake(duty)
+    leadership.store_responsive_at_s = -math.inf
+    _notify_changed(leadership)
 
 
-async def _read_back(state: State, duty: Leadership, transaction: cell.Transaction) -> bool:
+async def _read_back(state: State, leadership: Leadership, transaction: cell.Transaction) -> bool:
     """Read the rows of a write whose outcome is not known, and return whether it took effect."""
     while True:
         rows: dict[str, platform.Row] = {}
@@ -1229,101 +1245,108 @@
         await _sleep(state, RETRY_INTERVAL_S)
     cell_row = rows.pop(cell.name_cell_row(state.cell_id))
     row = cell.decode_cell(cell_row.value) if cell_row.version else None
-    if row != duty.rules.row:
-        _step_down(state, duty, "cell row changed")
+    if row != leadership.rules.row:
+        _step_down(state, leadership, "cell row changed")
         return False
-    duty.rules = cell.record_cell_row(duty.rules, duty.rules.row, cell_row.version)
+    leadership.rules = cell.record_cell_row(
+        leadership.rules, leadership.rules.row, cell_row.version
+    )
     is_ours = all(rows[name].value == value for name, value in transaction.writes.items())
     found_rows = {name: (found.value, found.version) for name, found in rows.items()}
     if is_ours:
         versions = {name: found.version for name, found in rows.items()}
-        duty.rules = dataclasses.replace(duty.rules, versions={**duty.rules.versions, **versions})
+        leadership.rules = dataclasses.replace(
+            leadership.rules, row_versions={**leadership.rules.row_versions, **versions}
+        )
     else:
-        duty.rules = cell.load_rows(duty.rules, found_rows, _find_wait(state))
+        leadership.rules = cell.load_rows(leadership.rules, found_rows, _make_find_grace(state))
         decision.record(
             log,
             logging.WARNING,
             "commit-not-applied",
-            term=duty.rules.row.term,
+            term=leadership.rules.row.term,
             rows=",".join(rows),
             outcome="read-back",
         )
     return is_ours
 
 
-def _log_changes(state: State, duty: Leadership, changes: list[cell.Change]) -> None:
+def _log_changes(state: State, leadership: Leadership, changes: list[cell.Change]) -> None:
     for change in changes:
-        duty.last_moves[change.shard] = (_now(state), change.reason.value)
+        leadership.last_moves[change.shard] = (_now(state), change.reason.value)
         state.ports.observe_move(identity.split_shard(change.shard)[0], change.reason)
         decision.record(
             log,
             logging.INFO,
             "assigned",
             shard=change.shard,
-            source=change.before or "-",
+            source=change.previous_owner or "-",
             to=change.owner,
             fence=change.fence,
-            term=duty.rules.row.term,
+            term=leadership.rules.row.term,
             reason=change.reason.value,
         )
 
 
-def _send_routes(state: State, duty: Leadership, changes: list[cell.Change]) -> None:
+def _send_routes(state: State, leadership: Leadership, changes: list[cell.Change]) -> None:
     """Tell former owners where their shards went, so that they can pass requests on at once."""
     routes: dict[identity.NodeId, list[message.Route]] = {}
     for change in changes:
-        if change.before != change.owner and change.before in duty.rules.leases:
+        if (
+            change.previous_owner != change.owner
+            and change.previous_owner in leadership.rules.leases
+        ):
             route = message.Route(shard=change.shard, owner=change.owner, fence=change.fence)
-            routes.setdefault(change.before, []).append(route)
+            routes.setdefault(change.previous_owner, []).append(route)
     for node, changed in routes.items():
-        request = message.Rerouted(term=duty.rules.row.term, routes=changed)
-        address = duty.rules.leases[node].member.peer_address
-        duty.nursery.start_soon(_ask, state, address, request, ASK_TIMEOUT_S)
+        request = message.Rerouted(term=leadership.rules.row.term, routes=changed)
+        address = leadership.rules.leases[node].member.peer_address
+        leadership.nursery.start_soon(_ask, state, address, request, ASK_TIMEOUT_S)
 
 
 async def _handle_leave(state: State, request: message.Leave) -> message.Message:
-    duty = state.leadership
-    if duty is None or not duty.is_loaded:
+    leadership = state.leadership
+    if leadership is None or not leadership.is_loaded:
         return _refuse(state, "not coordinator")
-    known = duty.rules.leases.get(request.node)
+    known = leadership.rules.leases.get(request.node)
     if known is None or known.member.incarnation != request.incarnation:
         return message.Done()
     now = _now(state)
-    others = [node for node in duty.rules.leases if node != request.node]
-    if not any(cell.is_member(duty.rules, node, now) for node in others):
+    others = [node for node in leadership.rules.leases if node != request.node]
+    if not any(cell.is_member(leadership.rules, node, now) for node in others):
         return _refuse(state, NO_OTHER_MEMBER)
     member = msgspec.structs.replace(known.member, is_leaving=True)
-    leases = {**duty.rules.leases, request.node: dataclasses.replace(known, member=member)}
-    duty.rules = dataclasses.replace(
-        duty.rules, leases=leases, members_version=duty.rules.members_version + 1
+    leases = {**leadership.rules.leases, request.node: dataclasses.replace(known, member=member)}
+    leadership.rules = dataclasses.replace(
+        leadership.rules, leases=leases, members_version=leadership.rules.members_version + 1
     )
-    _wake(duty)
+    _notify_changed(leadership)
     until = now + LEAVE_TIMEOUT_S
-    while not cell.is_drained(duty.rules, request.node):
-        if _now(state) >= until or state.leadership is not duty:
+    while not cell.is_drained(leadership.rules, request.node):
+        if _now(state) >= until or state.leadership is not leadership:
             return _refuse(state, "still holding shards")
-        await _wait_event(state, duty.changed, until)
+        await _wait_event(state, leadership.changed, until)
     return message.Done()
 
 
-async def _hand_over(state: State, duty: Leadership) -> None:
+async def _hand_over(state: State, leadership: Leadership) -> None:
     """Name a standby as coordinator, so that the cell need not wait for the end of consents."""
     now = _now(state)
     ready = [
-        seat
-        for seat in duty.rules.row.standbys
-        if now < duty.rules.consents.get(seat.node, -math.inf)
+        standby
+        for standby in leadership.rules.row.standbys
+        if now < leadership.rules.consents.get(standby.node, -math.inf)
     ]
     if not ready:
         return
-    duty.is_closing = True
-    async with duty.store_lock:
-        row = cell.hand_over(duty.rules.row, ready[0])
-        version = duty.rules.versions[cell.name_cell_row(state.cell_id)]
+    leadership.is_closing = True
+    async with leadership.store_lock:
+        row = cell.hand_over(leadership.rules.row, ready[0])
+        version = leadership.rules.row_versions[cell.name_cell_row(state.cell_id)]
         is_written, _ = await _write_cell(state, row, version)
     if is_written:
         request = message.Follow(
-            term=row.term, coordinator=ready[0].node, address=ready[0].address, order=0
+            term=row.term, coordinator=ready[0].node, address=ready[0].address, sequence=0
         )
         await _ask(state, ready[0].address, request, ASK_TIMEOUT_S)
-    _step_down(state, duty, "handed over")
+    _step_down(state, leadership, "handed over")
--- a/src/ebonyvalve/process/token_memory.py
+++ b/src/ebonyvalve/process/token_memory.py
@@ -161,18 +161,18 @@
     return shared
 
 
-def is_expired(memory: Memory, reach: EpochCoverage, issued_s: float, now: float) -> bool:
+def is_expired(memory: Memory, coverage: EpochCoverage, issued_s: float, now: float) -> bool:
     """Return whether a token's life is over.
 
     The horizon keeps a token expired when the life is made longer, or when the clock that was
     carried over by a handover lags by the time that the handover took.
 
     :param memory: the shard's memory.
-    :param reach: the epoch's reach.
+    :param coverage: the epoch's coverage.
     :param issued_s: when the token was issued, on the issuer's clock.
     :param now: seconds on the node's clock.
     """
-    return issued_s <= reach.horizon_s or now - reach.offset_s - issued_s >= memory.life_s
+    return issued_s <= coverage.horizon_s or now - coverage.offset_s - issued_s >= memory.life_s
 
 
 def forget(memory: Memory, now: float) -> int:
@@ -185,11 +185,11 @@
     :param now: seconds on the node's clock.
     """
     past = now - memory.life_s
-    for epoch, reach in list(memory.coverage.items()):
-        reach.horizon_s = max(reach.horizon_s, past - reach.offset_s)
-        for key in [key for key, at_s in reach.split_keys.items() if at_s <= reach.horizon_s]:
-            del reach.split_keys[key]
-        if reach.closed_s <= reach.horizon_s:
+    for epoch, coverage in list(memory.coverage.items()):
+        coverage.horizon_s = max(coverage.horizon_s, past - coverage.offset_s)
+        for key in [key for key, at_s in coverage.split_keys.items() if at_s <= coverage.horizon_s]:
+            del coverage.split_keys[key]
+        if coverage.closed_s <= coverage.horizon_s:
             del memory.coverage[epoch]
     forgotten = []
     for token, record in memory.used.items():
@@ -231,22 +231,22 @@
         epochs=[(epoch.shard, epoch.fence) for epoch in memory.coverage],
         used=[
             message.UsedToken(
-                token=_write(token),
+                token=_encode(token),
                 verdict=record.verdict,
                 status=record.status,
-                at_age_s=now - record.used_at,
+                age_s=now - record.used_at,
             )
             for token, record in records.items()
         ],
         coverage=[
             message.Coverage(
-                clock_s=now - reach.offset_s,
-                horizon_s=reach.horizon_s,
-                closed_s=min(reach.closed_s, now - reach.offset_s + CLOCK_TOLERANCE_S),
-                key=_write(epoch.key),
-                split_keys=[(_write(key), at_s) for key, at_s in reach.split_keys.items()],
+                clock_s=now - coverage.offset_s,
+                horizon_s=coverage.horizon_s,
+                closed_s=min(coverage.closed_s, now - coverage.offset_s + CLOCK_TOLERANCE_S),
+                key=_encode(epoch.key),
+                split_keys=[(_encode(key), at_s) for key, at_s in coverage.split_keys.items()],
             )
-            for epoch, reach in memory.coverage.items()
+            for epoch, coverage in memory.coverage.items()
         ],
     )
 
@@ -265,26 +265,26 @@
     key = ALL_KEYS
     if moved.shard != memory.shard:
         key = digest_key(identity.split_shard(moved.shard)[2])
-    named = {TokenId(_read(used.token)): used for used in moved.used}
+    named = {TokenId(_decode(used.token)): used for used in moved.used}
     known = memory.used.keys() | memory.running
-    fresh = {token: used for token, used in named.items() if token not in known}
-    if memory.quota.count + len(fresh) > MAX_IMPORT_FACTOR * memory.quota.limit:
+    new = {token: used for token, used in named.items() if token not in known}
+    if memory.quota.count + len(new) > MAX_IMPORT_FACTOR * memory.quota.limit:
         return False
     for (shard, fence), coverage in zip(moved.epochs, moved.coverage, strict=False):
-        epoch = Epoch(shard=shard, fence=fence, key=key or KeyDigest(_read(coverage.key)))
+        epoch = Epoch(shard=shard, fence=fence, key=key or KeyDigest(_decode(coverage.key)))
         if epoch in memory.coverage:
             continue
         memory.coverage[epoch] = EpochCoverage(
             offset_s=now - coverage.clock_s,
             horizon_s=coverage.horizon_s,
             closed_s=coverage.closed_s,
-            split_keys={KeyDigest(_read(gone)): at_s for gone, at_s in coverage.split_keys},
+            split_keys={KeyDigest(_decode(gone)): at_s for gone, at_s in coverage.split_keys},
         )
-    for token, used in fresh.items():
+    for token, used in new.items():
         memory.used[token] = Record(
-            verdict=used.verdict, status=used.status, used_at=now - used.at_age_s
+            verdict=used.verdict, status=used.status, used_at=now - used.age_s
         )
-    memory.quota.count += len(fresh)
+    memory.quota.count += len(new)
     memory.used = dict(sorted(memory.used.items(), key=lambda item: item[1].used_at))
     return True
 
@@ -312,19 +312,19 @@
     own = create(shard=shard, fence=fence, life_s=memory.life_s, quota=memory.quota)
     for epoch in [epoch for epoch in memory.coverage if epoch.key == tag]:
         own.coverage[epoch] = memory.coverage.pop(epoch)
-    for epoch, reach in memory.coverage.items():
+    for epoch, coverage in memory.coverage.items():
         if epoch.key != ALL_KEYS:
             continue
-        split_s = now - reach.offset_s + CLOCK_TOLERANCE_S
+        split_s = now - coverage.offset_s + CLOCK_TOLERANCE_S
         earlier = own.coverage.get(dataclasses.replace(epoch, key=tag))
-        horizon_s = max(reach.horizon_s, reach.split_keys.get(tag, float("-inf")))
+        horizon_s = max(coverage.horizon_s, coverage.split_keys.get(tag, float("-inf")))
         own.coverage[dataclasses.replace(epoch, key=tag)] = EpochCoverage(
-            offset_s=reach.offset_s,
+            offset_s=coverage.offset_s,
             # A key that was merged back with its memory is covered without a gap.
             horizon_s=horizon_s if earlier is None else earlier.horizon_s,
-            closed_s=min(reach.closed_s, split_s),
+            closed_s=min(coverage.closed_s, split_s),
         )
-        reach.split_keys[tag] = split_s
+        coverage.split_keys[tag] = split_s
     memory.split_memories[tag] = own
     for token in [token for token in memory.used if token.startswith(tag)]:
         own.used[token] = memory.used.pop(token)
@@ -334,9 +334,9 @@
     return own
 
 
-def _write(digest: bytes) -> str:
+def _encode(digest: bytes) -> str:
     return base64.urlsafe_b64encode(digest).decode()
 
 
-def _read(text: str) -> bytes:
+def _decode(text: str) -> bytes:
     return base64.urlsafe_b64decode(text)
--- a/tests/process/mesh.py
+++ b/tests/process/mesh.py
@@ -192,7 +192,7 @@
                 shard=shard,
                 epochs=[],
                 used=[
-                    message.UsedToken(token=token, verdict="answered", status=200, at_age_s=0.0)
+                    message.UsedToken(token=token, verdict="answered", status=200, age_s=0.0)
                     for token in sorted(host.memory.pop(shard, set()))
                 ],
             )
@@ -329,7 +329,7 @@
     state = find_coordinator(mesh).state
     assert state is not None
     assert state.leadership is not None
-    return [mesh.hosts[seat.node] for seat in state.leadership.rules.row.standbys]
+    return [mesh.hosts[instance.node] for instance in state.leadership.rules.row.standbys]
 
 
 def find_plain(mesh: Mesh) -> Host:
--- a/tests/process/test_cell.py
+++ b/tests/process/test_cell.py
@@ -7,7 +7,7 @@
 from ebonyvalve.process import cell, identity, lease
 
 
-def make_seat(name: str, start: int = 1) -> cell.NodeInstance:
+def make_instance(name: str, start: int = 1) -> cell.NodeInstance:
     return cell.NodeInstance(
         node=identity.NodeId(name),
         incarnation=identity.Incarnation(f"{name}{start}"),
@@ -16,7 +16,9 @@
 
 
 ROW = cell.CellRow(
-    term=identity.Term(4), coordinator=make_seat("a"), standbys=[make_seat("b"), make_seat("c")]
+    term=identity.Term(4),
+    coordinator=make_instance("a"),
+    standbys=[make_instance("b"), make_instance("c")],
 )
 NOW = 100.0
 READ = 99.9
@@ -28,7 +30,7 @@
     """A claimant, and the bound that it has to wait for; ``None`` if it must not claim."""
 
     name: str
-    seat: cell.NodeInstance
+    instance: cell.NodeInstance
     bound_s: float | None
     row: cell.CellRow | None = ROW
     promised_s: float = NOW - 0.1
@@ -36,19 +38,28 @@
 
 
 CASES = [
-    Case(name="no row", seat=make_seat("x"), row=None, bound_s=NOW),
-    Case(name="standby", seat=make_seat("b"), bound_s=lease.compute_lease_end(READ)),
-    Case(name="standby in its promise", seat=make_seat("b"), promised_s=NOW + 0.1, bound_s=None),
-    Case(name="no role", seat=make_seat("x"), bound_s=None),
-    Case(name="coordinator again", seat=make_seat("a"), bound_s=lease.compute_lease_end(NOW)),
-    Case(name="restarted standby", seat=make_seat("c", 2), bound_s=AFTER_CONSENT),
+    Case(name="no row", instance=make_instance("x"), row=None, bound_s=NOW),
+    Case(name="standby", instance=make_instance("b"), bound_s=lease.compute_lease_end(READ)),
+    Case(
+        name="standby in its promise",
+        instance=make_instance("b"),
+        promised_s=NOW + 0.1,
+        bound_s=None,
+    ),
+    Case(name="no role", instance=make_instance("x"), bound_s=None),
+    Case(
+        name="coordinator again", instance=make_instance("a"), bound_s=lease.compute_lease_end(NOW)
+    ),
+    Case(name="restarted standby", instance=make_instance("c", 2), bound_s=AFTER_CONSENT),
     Case(
         name="announced anew",
-        seat=make_seat("x"),
+        instance=make_instance("x"),
         announced={"b": "b2"},
         bound_s=AFTER_CONSENT,
     ),
-    Case(name="announced as named", seat=make_seat("x"), announced={"b": "b1"}, bound_s=None),
+    Case(
+        name="announced as named", instance=make_instance("x"), announced={"b": "b1"}, bound_s=None
+    ),
 ]
 
 
@@ -60,7 +71,7 @@
     }
     bound = cell.find_lease_bound(
         case.row,
-        seat=case.seat,
+        instance=case.instance,
         standby=cell.Standby(promised_until_s=case.promised_s),
         announced=announced,
         read_at_s=READ,
@@ -72,11 +83,16 @@
 def test_no_consent_during_a_claim() -> None:
     """Guards against a standby that consents although its claim may have taken effect."""
     term = identity.Term(4)
-    assert cell.give_consent(cell.Standby(), seen=term, asked=term, now=NOW) is not None
+    assert (
+        cell.give_consent(cell.Standby(), followed_term=term, requested_term=term, now=NOW)
+        is not None
+    )
     claiming = cell.Standby(is_claiming=True)
-    assert cell.give_consent(claiming, seen=term, asked=term, now=NOW) is None
+    assert cell.give_consent(claiming, followed_term=term, requested_term=term, now=NOW) is None
     lower = identity.Term(3)
-    assert cell.give_consent(cell.Standby(), seen=term, asked=lower, now=NOW) is None
+    assert (
+        cell.give_consent(cell.Standby(), followed_term=term, requested_term=lower, now=NOW) is None
+    )
 
 
 def test_proposed_standbys_count_with_the_old_ones() -> None:
@@ -84,13 +100,13 @@
     state = cell.open_coordinator(
         ROW,
         cell=identity.CellId("main"),
-        seat=make_seat("a"),
+        instance=make_instance("a"),
         zone=identity.ZoneId("z1"),
         version=1,
         unknown_until_s=NOW,
         now=NOW,
     )
-    state, _ = cell.propose_standbys(state, [make_seat("d")])
+    state, _ = cell.propose_standbys(state, [make_instance("d")])
     state = cell.record_consent(state, identity.NodeId("d"), NOW)
     assert not cell.may_renew(state, identity.NodeId("a"), NOW)
     for name in "bc":
--- a/tests/process/test_lease.py
+++ b/tests/process/test_lease.py
@@ -13,7 +13,7 @@
 def make_node() -> lease.Node:
     state = lease.Node(node=A, incarnation=identity.Incarnation("a1"))
     return lease.follow(
-        state, term=FIRST, coordinator=C, address=identity.Address("c:1"), order=0, now=0.0
+        state, term=FIRST, coordinator=C, address=identity.Address("c:1"), sequence=0, now=0.0
     )
 
 
@@ -35,8 +35,8 @@
 
 
 def renew(state: lease.Node, sent_at_s: float, now: float) -> lease.Node:
-    state, beat = lease.begin_heartbeat(state, sent_at_s)
-    state, outcome = lease.apply_renewal(state, beat, make_renewal(state), now)
+    state, pending = lease.begin_heartbeat(state, sent_at_s)
+    state, outcome = lease.apply_renewal(state, pending, make_renewal(state), now)
     assert outcome is lease.RenewalState.APPLIED
     return state
 
@@ -48,12 +48,18 @@
 
 def make_grant(state: lease.Node, holdings: list[message.Holding], order: int) -> message.Grant:
     return message.Grant(
-        term=state.term, holdings=holdings, memories=[], to=state.incarnation, order=order
+        term=state.term,
+        holdings=holdings,
+        memories=[],
+        incarnation=state.incarnation,
+        sequence=order,
     )
 
 
 def make_revoke(state: lease.Node, order: int) -> message.Revoke:
-    return message.Revoke(term=state.term, shards=[SHARD], to=state.incarnation, order=order)
+    return message.Revoke(
+        term=state.term, shards=[SHARD], incarnation=state.incarnation, sequence=order
+    )
 
 
 def test_lease_counts_from_sending() -> None:
@@ -68,9 +74,9 @@
     """Guards against a paused owner that serves an old holding after its next renewal."""
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     assert lease.find_fence(state, SHARD, KEY, 0.1) == 1
-    state, beat = lease.begin_heartbeat(state, 5.0)
+    state, pending = lease.begin_heartbeat(state, 5.0)
     other = make_renewal(state, digest=state.digest + 1)
-    state, _ = lease.apply_renewal(state, beat, other, 5.0)
+    state, _ = lease.apply_renewal(state, pending, other, 5.0)
     assert lease.is_live(state, 5.0)
     assert lease.find_fence(state, SHARD, KEY, 5.0) is None
     state = renew(state, 5.1, 5.1)
@@ -79,17 +85,17 @@
 
 def test_renewal_of_other_term_or_older_configuration_is_ignored() -> None:
     """Guards against a replaced coordinator that extends a lease, and a reverted configuration."""
-    state, beat = lease.begin_heartbeat(make_node(), 0.0)
+    state, pending = lease.begin_heartbeat(make_node(), 0.0)
     followed = lease.follow(
-        state, term=SECOND, coordinator=A, address=identity.Address("a:1"), order=1, now=0.0
+        state, term=SECOND, coordinator=A, address=identity.Address("a:1"), sequence=1, now=0.0
     )
-    _, outcome = lease.apply_renewal(followed, beat, make_renewal(state), 0.1)
+    _, outcome = lease.apply_renewal(followed, pending, make_renewal(state), 0.1)
     assert outcome is lease.RenewalState.STALE
     newer = lease.adopt_config(state, identity.ConfigVersion(5))
-    kept, outcome = lease.apply_renewal(newer, beat, make_renewal(state, config=4), 0.1)
+    kept, outcome = lease.apply_renewal(newer, pending, make_renewal(state, config=4), 0.1)
     assert outcome is lease.RenewalState.STALE
     assert not lease.is_live(kept, 0.1)
-    _, outcome = lease.apply_renewal(newer, beat, make_renewal(state, config=6), 0.1)
+    _, outcome = lease.apply_renewal(newer, pending, make_renewal(state, config=6), 0.1)
     assert outcome is lease.RenewalState.NEEDS_CONFIG
 
 
@@ -114,11 +120,11 @@
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     state = lease.lapse(state, 5.0)
     other = make_renewal(state, digest=state.digest + 1)
-    state, beat = lease.begin_heartbeat(state, 5.0)
-    state, _ = lease.apply_renewal(state, beat, other, 5.0)
+    state, pending = lease.begin_heartbeat(state, 5.0)
+    state, _ = lease.apply_renewal(state, pending, other, 5.0)
     state, _ = lease.begin_release(state, make_revoke(state, 2), 5.0)
     state = lease.follow(
-        state, term=SECOND, coordinator=A, address=identity.Address("a:1"), order=1, now=5.1
+        state, term=SECOND, coordinator=A, address=identity.Address("a:1"), sequence=1, now=5.1
     )
     assert lease.is_live(state, 5.1)
     assert lease.find_fence(state, SHARD, KEY, 5.1) is None
@@ -129,7 +135,7 @@
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     state, _ = lease.begin_release(state, make_revoke(state, 2), 0.1)
     state = lease.follow(
-        state, term=SECOND, coordinator=A, address=identity.Address("a:1"), order=1, now=0.1
+        state, term=SECOND, coordinator=A, address=identity.Address("a:1"), sequence=1, now=0.1
     )
     assert lease.find_fence(state, SHARD, KEY, 0.1) == 1
 
--- a/tests/process/test_limit.py
+++ b/tests/process/test_limit.py
@@ -184,7 +184,7 @@
     assert wake.run == [answer.ticket for answer in answers[1:11]]
 
 
-def fall_always(target: limit.Target, now: float, factor: float) -> None:
+def decrease_always(target: limit.Target, now: float, factor: float) -> None:
     target.limit = max(1.0, target.limit * factor)
 
 
@@ -194,10 +194,10 @@
         ("COLD_RUN", 10**9, lambda: test_cold_turns(slow_down, limit.Phase.WARMING)),
         ("SHED_RUN", 10**9, lambda: test_cold_turns(shed, limit.Phase.WARMING)),
         ("COLD_RUN", 3, lambda: test_cold_turns(hiccup, limit.Phase.STEADY)),
-        ("_cap", lambda target: 99.0, lambda: test_slow_start_grows_with_work_only(10)),
+        ("_find_max_limit", lambda target: 99.0, lambda: test_slow_start_grows_with_work_only(10)),
         ("read_limit", lambda target: 99, test_limit_and_queue_are_never_exceeded),
         ("withdraw", lambda target, ticket: None, test_limit_and_queue_are_never_exceeded),
-        ("_fall", fall_always, test_overload_lowers_the_limit_once_per_reply_time),
+        ("_decrease_limit", decrease_always, test_overload_lowers_the_limit_once_per_reply_time),
         ("QUEUE_PER_SLOT", 1, test_handover_waits_in_order_within_deadlines),
         ("predict_wait", lambda target: 0.0, test_queue_sheds_before_the_deadline),
     ],
--- a/tests/process/test_terms.py
+++ b/tests/process/test_terms.py
@@ -26,7 +26,7 @@
     source: identity.NodeId
     target: identity.NodeId
     body: message.Message
-    beat: lease.PendingHeartbeat | None = None
+    pending: lease.PendingHeartbeat | None = None
     sent_at_s: float = 0.0
     # Set while a release waits for the requests in flight; delivering it ends the release.
     is_release: bool = False
@@ -39,10 +39,10 @@
     now: float = 0.0
     nodes: dict[identity.NodeId, lease.Node]
     standbys: dict[identity.NodeId, cell.Standby]
-    duties: dict[identity.NodeId, cell.Coordinator]
+    coordinators: dict[identity.NodeId, cell.Coordinator]
     rows: dict[str, tuple[bytes, int]]
     sent: tuple[Envelope, ...] = ()
-    order: int = 0
+    sequence: int = 0
 
 
 def make_member(node: identity.NodeId) -> message.Member:
@@ -57,7 +57,7 @@
     )
 
 
-def make_seat(node: identity.NodeId) -> cell.NodeInstance:
+def make_instance(node: identity.NodeId) -> cell.NodeInstance:
     return cell.make_instance(make_member(node))
 
 
@@ -68,7 +68,9 @@
 def make_world() -> World:
     """Return a cell in which a is coordinator, b standby, and c holds the shard."""
     a, b, c = NAMES
-    row = cell.CellRow(term=identity.Term(1), coordinator=make_seat(a), standbys=[make_seat(b)])
+    row = cell.CellRow(
+        term=identity.Term(1), coordinator=make_instance(a), standbys=[make_instance(b)]
+    )
     entry = cell.PageEntry(partition=identity.Partition(0), owner=c, fence=identity.Fence(1))
     rows = {
         CELL_ROW: (cell.encode_row(row), 1),
@@ -82,7 +84,7 @@
             term=row.term,
             coordinator=a,
             address=identity.Address(a),
-            order=0,
+            sequence=0,
             now=0.0,
         )
     nodes[c] = dataclasses.replace(
@@ -91,23 +93,23 @@
         lease_end_s=lease.LEASE_S,
         digest=lease.digest_holdings([message.Holding(shard=SHARD, fence=identity.Fence(1))]),
     )
-    duty = open_duty(row, a, 1, 0.0, 0.0)
-    duty = cell.load_rows(duty, {PAGE: rows[PAGE]}, no_wait)
+    coordinator = open_coordinator(row, a, 1, 0.0, 0.0)
+    coordinator = cell.load_rows(coordinator, {PAGE: rows[PAGE]}, no_wait)
     for name in NAMES:
-        duty = collect(duty, nodes[name], 0.0)
-    duty = cell.record_consent(duty, b, 0.0)
+        coordinator = collect(coordinator, nodes[name], 0.0)
+    coordinator = cell.record_consent(coordinator, b, 0.0)
     standbys = {name: cell.Standby() for name in NAMES}
     standbys[b] = cell.Standby(promised_until_s=lease.compute_promise_end(0.0))
-    return World(nodes=nodes, standbys=standbys, duties={a: duty}, rows=rows)
+    return World(nodes=nodes, standbys=standbys, coordinators={a: coordinator}, rows=rows)
 
 
-def open_duty(
+def open_coordinator(
     row: cell.CellRow, node: identity.NodeId, version: int, bound: float, now: float
 ) -> cell.Coordinator:
     return cell.open_coordinator(
         row,
         cell=CELL,
-        seat=make_seat(node),
+        instance=make_instance(node),
         zone=ZONE,
         version=version,
         unknown_until_s=bound,
@@ -115,14 +117,14 @@
     )
 
 
-def collect(duty: cell.Coordinator, node: lease.Node, now: float) -> cell.Coordinator:
+def collect(coordinator: cell.Coordinator, node: lease.Node, now: float) -> cell.Coordinator:
     following = message.Following(
         member=make_member(node.node),
         term=node.term,
         holdings=lease.list_holdings(node),
         config_version=node.config_version,
     )
-    return cell.record_holdings(duty, following, lambda shard: SHARD, now)
+    return cell.record_holdings(coordinator, following, lambda shard: SHARD, now)
 
 
 def find_servers(world: World) -> list[identity.NodeId]:
@@ -148,12 +150,14 @@
     return dataclasses.replace(world, nodes={**world.nodes, node.node: node})
 
 
-def put_duty(world: World, duty: cell.Coordinator) -> World:
-    return dataclasses.replace(world, duties={**world.duties, duty.seat.node: duty})
+def put_coordinator(world: World, coordinator: cell.Coordinator) -> World:
+    return dataclasses.replace(
+        world, coordinators={**world.coordinators, coordinator.instance.node: coordinator}
+    )
 
 
 def begin_heartbeat(world: World, name: identity.NodeId) -> World | None:
-    node, beat = lease.begin_heartbeat(world.nodes[name], world.now)
+    node, pending = lease.begin_heartbeat(world.nodes[name], world.now)
     body = message.Heartbeat(
         member=make_member(name),
         term=node.term,
@@ -163,20 +167,20 @@
         is_live=lease.is_live(node, world.now),
         is_suspended=any(map(lease.is_suspended, node.holdings.values())),
     )
-    envelope = Envelope(source=name, target=node.coordinator, body=body, beat=beat)
+    envelope = Envelope(source=name, target=node.coordinator, body=body, pending=pending)
     return send(put_node(world, node), envelope)
 
 
 def ask_consent(world: World, name: identity.NodeId) -> World | None:
-    duty = world.duties.get(name)
-    if duty is None:
+    coordinator = world.coordinators.get(name)
+    if coordinator is None:
         return None
     body = message.AskConsent(
-        term=duty.row.term, coordinator=name, incarnation=duty.seat.incarnation
+        term=coordinator.row.term, coordinator=name, incarnation=coordinator.instance.incarnation
     )
     asked = [
-        Envelope(source=name, target=seat.node, body=body, sent_at_s=world.now)
-        for seat in cell.list_required(duty)
+        Envelope(source=name, target=instance.node, body=body, sent_at_s=world.now)
+        for instance in cell.list_required(coordinator)
     ]
     return send(world, *asked) if asked else None
 
@@ -186,43 +190,43 @@
     row = cell.decode_cell(value)
     bound = cell.find_lease_bound(
         row,
-        seat=make_seat(name),
+        instance=make_instance(name),
         standby=world.standbys[name],
         announced={},
         read_at_s=world.now,
         now=world.now,
     )
-    if bound is None or name in world.duties:
+    if bound is None or name in world.coordinators:
         return None
-    claimed = cell.claim(row, make_seat(name), world.nodes[name].term)
+    claimed = cell.claim(row, make_instance(name), world.nodes[name].term)
     rows = {**world.rows, CELL_ROW: (cell.encode_row(claimed), version + 1)}
-    duty = open_duty(claimed, name, version + 1, bound, world.now)
-    duty = cell.load_rows(duty, {PAGE: rows[PAGE]}, no_wait)
+    coordinator = open_coordinator(claimed, name, version + 1, bound, world.now)
+    coordinator = cell.load_rows(coordinator, {PAGE: rows[PAGE]}, no_wait)
     node = lease.follow(
         world.nodes[name],
         term=claimed.term,
         coordinator=name,
         address=identity.Address(name),
-        order=0,
+        sequence=0,
         now=world.now,
     )
     world = dataclasses.replace(put_node(world, node), rows=rows)
-    world = put_duty(world, duty)
+    world = put_coordinator(world, coordinator)
     return call_nodes(world, name)
 
 
 def call_nodes(world: World, name: identity.NodeId) -> World | None:
-    duty = world.duties.get(name)
-    if duty is None:
+    coordinator = world.coordinators.get(name)
+    if coordinator is None:
         return None
-    world = dataclasses.replace(world, order=world.order + 1)
+    world = dataclasses.replace(world, sequence=world.sequence + 1)
     body = message.Follow(
-        term=duty.row.term,
+        term=coordinator.row.term,
         coordinator=name,
         address=identity.Address(name),
-        order=world.order,
+        sequence=world.sequence,
     )
-    missing = [other for other in NAMES if other not in duty.leases]
+    missing = [other for other in NAMES if other not in coordinator.leases]
     if not missing:
         return None
     return send(world, *(Envelope(source=name, target=other, body=body) for other in missing))
@@ -230,59 +234,65 @@
 
 def lead(world: World, name: identity.NodeId, target: identity.NodeId) -> World | None:
     """Let a coordinator expire leases, plan a move to a node, commit, revoke and grant."""
-    duty = world.duties.get(name)
-    if duty is None:
+    coordinator = world.coordinators.get(name)
+    if coordinator is None:
         return None
-    duty, _ = cell.expire(duty, no_wait, world.now)
+    coordinator, _ = cell.expire(coordinator, no_wait, world.now)
     move = assignment.Move(
         shard=SHARD, source=None, target=target, reason=assignment.MoveReason.RULE
     )
     plan = assignment.Plan(split=[], merge=[], moves=[move])
-    if world.now >= duty.unknown_until_s:
-        duty = cell.apply_plan(duty, plan, lambda shard: SHARD, world.now)
-    world = commit(put_duty(world, duty), name)
-    duty = world.duties.get(name, duty)
-    actions = cell.list_actions(duty, world.now)
+    if world.now >= coordinator.unknown_until_s:
+        coordinator = cell.apply_plan(coordinator, plan, lambda shard: SHARD, world.now)
+    world = commit(put_coordinator(world, coordinator), name)
+    coordinator = world.coordinators.get(name, coordinator)
+    actions = cell.list_actions(coordinator, world.now)
     for node, shard in actions.revokes:
-        world = dataclasses.replace(world, order=world.order + 1)
+        world = dataclasses.replace(world, sequence=world.sequence + 1)
         revoke = message.Revoke(
-            term=duty.row.term,
+            term=coordinator.row.term,
             shards=[shard],
-            to=duty.leases[node].member.incarnation,
-            order=world.order,
+            incarnation=coordinator.leases[node].member.incarnation,
+            sequence=world.sequence,
         )
         world = send(world, Envelope(source=name, target=node, body=revoke))
     for node, holdings in actions.grants.items():
-        duty = cell.record_grant_sent(duty, node, holdings)
-        world = dataclasses.replace(put_duty(world, duty), order=world.order + 1)
+        coordinator = cell.record_grant_sent(coordinator, node, holdings)
+        world = dataclasses.replace(
+            put_coordinator(world, coordinator), sequence=world.sequence + 1
+        )
         grant = message.Grant(
-            term=duty.row.term,
+            term=coordinator.row.term,
             holdings=holdings,
             memories=[],
-            to=duty.leases[node].member.incarnation,
-            order=world.order,
+            incarnation=coordinator.leases[node].member.incarnation,
+            sequence=world.sequence,
         )
         world = send(world, Envelope(source=name, target=node, body=grant))
     return world
 
 
 def commit(world: World, name: identity.NodeId) -> World:
-    duty = world.duties[name]
-    transaction = cell.build_transaction(duty, world.now)
+    coordinator = world.coordinators[name]
+    transaction = cell.build_transaction(coordinator, world.now)
     if transaction is None:
         return world
     if any(world.rows[row][1] != version for row, version in transaction.expected.items()):
-        return drop_duty(world, name)
+        return drop_coordinator(world, name)
     written = {
         row: (value or b"", world.rows[row][1] + 1) for row, value in transaction.writes.items()
     }
-    duty = cell.apply_changes(cell.record_commit(duty, transaction), transaction.changes)
-    return put_duty(dataclasses.replace(world, rows={**world.rows, **written}), duty)
+    coordinator = cell.apply_changes(
+        cell.record_commit(coordinator, transaction), transaction.changes
+    )
+    return put_coordinator(dataclasses.replace(world, rows={**world.rows, **written}), coordinator)
 
 
-def drop_duty(world: World, name: identity.NodeId) -> World:
-    duties = {node: duty for node, duty in world.duties.items() if node != name}
-    return dataclasses.replace(world, duties=duties)
+def drop_coordinator(world: World, name: identity.NodeId) -> World:
+    coordinators = {
+        node: coordinator for node, coordinator in world.coordinators.items() if node != name
+    }
+    return dataclasses.replace(world, coordinators=coordinators)
 
 
 def lose_message(world: World, index: int) -> World | None:
@@ -304,43 +314,45 @@
 
 def _handle(world: World, envelope: Envelope) -> World:
     node = world.nodes[envelope.target]
-    duty = world.duties.get(envelope.target)
+    coordinator = world.coordinators.get(envelope.target)
     reply = functools.partial(
         dataclasses.replace, envelope, source=envelope.target, target=envelope.source
     )
     match envelope.body:
-        case message.Heartbeat() as beat if duty is not None:
-            duty, _ = cell.expire(duty, no_wait, world.now)
-            duty, answer = cell.handle_heartbeat(duty, beat, world.now)
-            world = put_duty(world, duty)
+        case message.Heartbeat() as heartbeat if coordinator is not None:
+            coordinator, _ = cell.expire(coordinator, no_wait, world.now)
+            coordinator, answer = cell.handle_heartbeat(coordinator, heartbeat, world.now)
+            world = put_coordinator(world, coordinator)
             if answer is cell.HeartbeatAnswer.RENEW:
-                return send(world, reply(body=cell.build_renewal(duty, beat, [])))
-        case message.Renewal() as renewal if envelope.beat is not None:
-            return put_node(world, lease.apply_renewal(node, envelope.beat, renewal, world.now)[0])
+                return send(world, reply(body=cell.build_renewal(coordinator, heartbeat, [])))
+        case message.Renewal() as renewal if envelope.pending is not None:
+            return put_node(
+                world, lease.apply_renewal(node, envelope.pending, renewal, world.now)[0]
+            )
         case message.AskConsent() as request:
             standby = cell.give_consent(
                 world.standbys[envelope.target],
-                seen=node.term,
-                asked=request.term,
+                followed_term=node.term,
+                requested_term=request.term,
                 now=world.now,
             )
             if standby is not None:
                 standbys = {**world.standbys, envelope.target: standby}
                 world = dataclasses.replace(world, standbys=standbys)
                 return send(world, reply(body=message.Consent(term=request.term)))
-        case message.Consent() as consent if duty is not None:
-            if consent.term == duty.row.term:
-                duty = cell.record_consent(duty, envelope.source, envelope.sent_at_s)
-                return put_duty(world, duty)
+        case message.Consent() as consent if coordinator is not None:
+            if consent.term == coordinator.row.term:
+                coordinator = cell.record_consent(coordinator, envelope.source, envelope.sent_at_s)
+                return put_coordinator(world, coordinator)
         case message.Follow() as request if request.term >= node.term:
-            if duty is not None and duty.row.term < request.term:
-                world = drop_duty(world, envelope.target)
+            if coordinator is not None and coordinator.row.term < request.term:
+                world = drop_coordinator(world, envelope.target)
             node = lease.follow(
                 node,
                 term=request.term,
                 coordinator=request.coordinator,
                 address=request.address,
-                order=request.order,
+                sequence=request.sequence,
                 now=world.now,
             )
             following = message.Following(
@@ -350,11 +362,13 @@
                 config_version=node.config_version,
             )
             return send(put_node(world, node), reply(body=following))
-        case message.Following() as following if duty is not None:
-            is_new = following.member.node not in duty.leases
-            if following.term == duty.row.term and is_new:
-                duty = cell.record_holdings(duty, following, lambda shard: SHARD, world.now)
-                return put_duty(world, duty)
+        case message.Following() as following if coordinator is not None:
+            is_new = following.member.node not in coordinator.leases
+            if following.term == coordinator.row.term and is_new:
+                coordinator = cell.record_holdings(
+                    coordinator, following, lambda shard: SHARD, world.now
+                )
+                return put_coordinator(world, coordinator)
         case message.Revoke() as request if envelope.is_release:
             held = node.holdings.get(SHARD)
             if held is not None and held.state is not lease.HoldingState.RELEASING:
@@ -368,12 +382,12 @@
         case message.Revoke() as request if lease.accepts(node, request, SHARD):
             node, _ = lease.begin_release(node, request, world.now)
             return send(put_node(world, node), dataclasses.replace(envelope, is_release=True))
-        case message.Released() as released if duty is not None:
-            if released.term == duty.row.term:
+        case message.Released() as released if coordinator is not None:
+            if released.term == coordinator.row.term:
                 has_memory = not released.holdings
-                return put_duty(
+                return put_coordinator(
                     world,
-                    cell.record_release(duty, envelope.source, SHARD, has_memory=has_memory),
+                    cell.record_release(coordinator, envelope.source, SHARD, has_memory=has_memory),
                 )
         case message.Grant() as request:
             node, is_taken = lease.grant(node, request, world.now)
@@ -481,7 +495,7 @@
         lambda w: pass_time(w, 0.16),
         wait_long,
     ]
-    steps += [functools.partial(lead, name=name, target=b) for name in world.duties]
+    steps += [functools.partial(lead, name=name, target=b) for name in world.coordinators]
     for index in range(len(world.sent)):
         steps.append(functools.partial(deliver, index=index, is_reply_lost=False))
         steps.append(functools.partial(deliver, index=index, is_reply_lost=True))
@@ -547,8 +561,8 @@
         term=identity.Term(1),
         holdings=[message.Holding(shard=SHARD, fence=identity.Fence(1))],
         memories=[],
-        to=world.nodes[c].incarnation,
-        order=0,
+        incarnation=world.nodes[c].incarnation,
+        sequence=0,
     )
     world = run_steps(world, lambda w: lead(w, a, b), deliver_first, deliver_first)
     return send(world, Envelope(source=a, target=c, body=late))
