--- a/src/ebonyvalve/process/accounting.py
+++ b/src/ebonyvalve/process/accounting.py
@@ -1,13 +1,13 @@
-"""Accounts for the load of shards and finds hot keys, at the node that owns them.
+"""Measures the load of shards and finds hot keys, at the node that owns them.
 
-Sums decay with time. Instead of lowering every sum at every request, later requests weigh more
-(forward decay): a request at time t adds its cost times exp((t - landmark) / DECAY_S), and reading
-divides by the same factor.
+Sums decay exponentially with time. Instead of reducing every sum at every request, later requests
+get a higher weight (forward decay): a request at time t adds its cost times
+exp((t - landmark) / DECAY_S), and a read divides by the same factor for the present time.
 
-Hot keys are found with the Misra-Gries sketch, pruned in batches. It holds at most
+Hot keys are found with a Misra-Gries sketch that is pruned in batches. It holds at most
 ``2 * KEY_COUNTERS`` keys of at most ``KEY_LENGTH`` characters, whatever the number of keys in use:
 under 0.5 MB with ASCII keys of that length, under 0.1 MB with keys of 16 characters. The load of a
-key is never overstated, and understated by at most 1 / (KEY_COUNTERS + 1) of the node's load.
+key is never overestimated, and underestimated by at most 1 / (KEY_COUNTERS + 1) of the node's load.
 """
 
 import dataclasses
@@ -15,33 +15,33 @@
 
 from ebonyvalve.process import identity, message
 
-# Time constant of the decay. At 100 requests/s per shard the sum has a relative error of 4%, and
-# 90% of a step in load is seen within 7 s.
+# Time constant of the decay. At 100 requests/s per shard, the load has a relative error of 4%, and
+# reflects 90% of a step change within 7 s.
 DECAY_S = 3.0
-# Counters after a prune. The error of 0.4% is far below the least share reported.
+# Counters after a prune. The error of 0.4% is far below the lowest reported share.
 KEY_COUNTERS = 256
-# Longer keys are not tracked, which bounds the memory of the sketch; their load counts towards
-# their partition.
+# Longer keys are not tracked, to bound the memory of the sketch; their load counts only for their
+# partition.
 MAX_KEY_LENGTH = 256
 # Keys below this share of the node's load are not reported. Placement splits keys off at 20% of a
-# target's fair load, which is still reported by a node that carries six times its share.
+# target's fair load; even a node with six times its fair load still reports such a key.
 MIN_SHARE = 0.03
-# Keys per heartbeat. At most 33 keys can carry 3% each; the first 16 come first to be split off.
+# Keys per heartbeat. At most 33 keys can have 3% each; the 16 hottest are the first to split off.
 MAX_KEYS = 16
-# A shard's first requests do not give a rate; the sum is read as if this time had passed.
+# The first requests of a shard don't give a rate yet, so its age counts as at least this.
 MIN_AGE_S = 1.0
-# The weights are rescaled before they leave the range in which floats add without loss.
+# The weights are rescaled before they grow so large that adding floats loses precision.
 MAX_EXPONENT = 20.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Account:
-    """Decayed sums of target seconds, all in the weight of the landmark."""
+    """Sums of target seconds by shard and by key, weighted relative to the landmark."""
 
     landmark_s: float
     sums: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     since_s: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
-    # The shards that are partitions; other shards are single keys and need no sketch.
+    # The shards that are partitions. Other shards are single keys and need no sketch.
     partitions: set[identity.ShardId] = dataclasses.field(default_factory=set)
     key_sums: dict[tuple[identity.ShardId, identity.KeyId], float] = dataclasses.field(
         default_factory=dict
@@ -54,10 +54,10 @@
     """Add a request that the target has run.
 
     :param account: changed in place.
-    :param shard: the shard under which the request was run.
-    :param key: its key.
-    :param used_s: the target seconds it used.
-    :param now_s: the time.
+    :param shard: the shard under which the request ran.
+    :param key: the key of the request.
+    :param used_s: the target seconds that it used.
+    :param now_s: the time in seconds.
     """
     exponent = (now_s - account.landmark_s) / DECAY_S
     if exponent > MAX_EXPONENT:
@@ -82,25 +82,25 @@
 
 
 def prune(account: Account) -> None:
-    """Reduce the sketch to ``KEY_COUNTERS`` keys.
+    """Reduce the sketch to at most ``KEY_COUNTERS`` keys.
 
-    Each prune takes the same amount from more than ``KEY_COUNTERS`` counters, which bounds the sum
-    of these amounts by the total load over ``KEY_COUNTERS + 1``.
+    Each prune subtracts the same amount from more than ``KEY_COUNTERS`` counters, so these amounts
+    add up to at most the total load divided by ``KEY_COUNTERS + 1``.
 
     :param account: changed in place.
     """
     ranked = sorted(account.key_sums.values(), reverse=True)
-    least = ranked[KEY_COUNTERS]
+    subtracted = ranked[KEY_COUNTERS]
     account.key_sums = {
-        entry: value - least for entry, value in account.key_sums.items() if value > least
+        entry: value - subtracted for entry, value in account.key_sums.items() if value > subtracted
     }
 
 
 def rescale(account: Account, now_s: float) -> None:
-    """Move the landmark to the present.
+    """Move the landmark to the present time and rescale all sums.
 
     :param account: changed in place.
-    :param now_s: the time.
+    :param now_s: the time in seconds.
     """
     factor = math.exp((account.landmark_s - now_s) / DECAY_S)
     account.sums = {shard: value * factor for shard, value in account.sums.items()}
@@ -109,7 +109,7 @@
 
 
 def forget(account: Account, shard: identity.ShardId) -> None:
-    """Drop a shard that the node owns no more.
+    """Remove a shard that the node no longer owns.
 
     :param account: changed in place.
     :param shard: the shard.
@@ -122,7 +122,7 @@
 
 
 def forget_key(account: Account, shard: identity.ShardId, key: identity.KeyId) -> None:
-    """Take a key that is split off out of its partition's account.
+    """Remove a key that is split off from its partition's load.
 
     :param account: changed in place.
     :param shard: the partition.
@@ -137,11 +137,11 @@
     """Return the load of a shard, in target seconds per second.
 
     The sum is divided by the part of the decay window that has passed since the shard's first
-    request, so that a shard that was just granted is not taken for an idle one.
+    request, so that a newly granted shard doesn't appear idle.
 
     :param account: the account.
     :param shard: the shard.
-    :param now_s: the time.
+    :param now_s: the time in seconds.
     """
     value = account.sums.get(shard, 0.0)
     if value == 0.0:
@@ -152,10 +152,10 @@
 
 
 def list_loads(account: Account, now_s: float) -> list[message.ShardLoad]:
-    """Return the loads for a heartbeat.
+    """Return the loads of all shards, for a heartbeat.
 
     :param account: the account.
-    :param now_s: the time.
+    :param now_s: the time in seconds.
     """
     return [
         message.ShardLoad(shard=shard, load=find_load(account, shard, now_s))
@@ -166,16 +166,16 @@
 def list_hot_keys(
     account: Account, now_s: float
 ) -> list[tuple[identity.ServiceId, identity.KeyId, float]]:
-    """Return the keys that carry much of the node's load, for a heartbeat; hottest first.
+    """Return the hot keys of the node, hottest first, for a heartbeat.
 
-    The third field is the key's share of the load of its partition.
+    The third item of each is the key's share of its partition's load.
 
     :param account: the account.
-    :param now_s: the time.
+    :param now_s: the time in seconds.
     """
-    least = MIN_SHARE * sum(account.sums.values())
+    min_sum = MIN_SHARE * sum(account.sums.values())
     ranked = sorted(
-        (entry for entry in account.key_sums.items() if entry[1] >= least and entry[1] > 0.0),
+        (entry for entry in account.key_sums.items() if entry[1] >= min_sum and entry[1] > 0.0),
         key=lambda entry: (-entry[1], entry[0]),
     )
     return [
--- a/src/ebonyvalve/process/assignment.py
+++ b/src/ebonyvalve/process/assignment.py
@@ -1,4 +1,4 @@
-"""What the coordinator asks of placement, and what placement answers."""
+"""Input and output of placement, which plans for the coordinator which node owns each shard."""
 
 import collections.abc
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class MoveReason(enum.Enum):
-    """Why a shard gets another owner."""
+    """Why a shard is moved to another owner."""
 
     ORPHANED = "orphaned"
     LEAVING = "leaving"
@@ -19,11 +19,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlacementView:
-    """What placement may consider. Members without a lease are not listed.
+    """State of the cell for placement. Members without a valid lease are not listed.
 
     ``owners`` maps every shard of every keyed service to its owner, or to ``None``. ``loads`` is in
-    target seconds per second, as measured by the owners. ``hot_keys`` gives the share of the load
-    of a partition that single keys carry.
+    target seconds per second, as measured by the owners. ``hot_keys`` maps single keys to their
+    share of the load of their partition.
     """
 
     members: dict[identity.NodeId, message.Member]
@@ -45,10 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """Changes that the coordinator shall carry out, in this order.
+    """Changes for the coordinator to make, in this order.
 
-    ``split`` lists keys that become shards of their own at their present owner; ``merge`` lists
-    such shards that go back into their partition and are already at the partition's owner.
+    ``split`` lists keys that become shards of their own at their current owner. ``merge`` lists
+    such shards that are merged back into their partition; the partition's owner holds them already.
     """
 
     split: list[identity.ShardId]
--- a/src/ebonyvalve/process/budget.py
+++ b/src/ebonyvalve/process/budget.py
@@ -1,4 +1,4 @@
-"""Token buckets that keep retries and hedges to a share of the requests."""
+"""Token buckets that limit retries and hedges to a share of the requests."""
 
 import dataclasses
 
@@ -6,13 +6,13 @@
 
 RETRY_SHARE = 0.1
 HEDGE_SHARE = 0.05
-# Lets a node with little traffic retry; it bounds the retries of an idle node to 10 in a burst.
+# Allows a node with little traffic to retry, and limits an idle node to a burst of 10 retries.
 BURST = 10.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Budget:
-    """A bucket into which each request puts ``share`` of an extra attempt."""
+    """Token bucket to which each request adds ``share`` of an extra attempt."""
 
     share: float
     burst: float = BURST
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ServiceBudgets:
-    """A bucket for each service, all with the same share and burst."""
+    """A token bucket for each service, all with the same share and burst."""
 
     share: float
     burst: float = BURST
@@ -29,10 +29,10 @@
 
 
 def find_budget(budgets: ServiceBudgets, service: identity.ServiceId) -> Budget:
-    """Return the bucket of a service; a new one is full.
+    """Return the bucket of a service; a new one is created full.
 
-    :param budgets: the buckets.
-    :param service: one that the configuration names.
+    :param budgets: the buckets of all services.
+    :param service: a service of the configuration.
     """
     bucket = budgets.buckets.get(service)
     if bucket is None:
@@ -42,7 +42,7 @@
 
 
 def credit(budget: Budget) -> None:
-    """Credit one request.
+    """Add the share of one request to the bucket.
 
     :param budget: the bucket.
     """
@@ -50,20 +50,20 @@
 
 
 def compute_share(ratio: float) -> float:
-    """Return how much of an extra attempt each request earns.
+    """Return the share of an extra attempt that each request adds.
 
-    Half is kept back, as of the burst in :func:`divide`.
+    Half of the ratio is held in reserve, as in :func:`divide_burst`.
 
-    :param ratio: extra attempts for each request that all nodes together may make.
+    :param ratio: extra attempts per request that all nodes together may make.
     """
     return ratio / 2
 
 
 def set_share(budgets: ServiceBudgets, share: float) -> None:
-    """Change how much of an extra attempt each request earns.
+    """Change the share of an extra attempt that each request adds.
 
-    :param budgets: the buckets.
-    :param share: from :func:`choose_share`.
+    :param budgets: the buckets of all services.
+    :param share: from :func:`compute_share`.
     """
     budgets.share = share
     for bucket in budgets.buckets.values():
@@ -71,13 +71,14 @@
 
 
 def divide_burst(budgets: ServiceBudgets, slack: float, nodes: int) -> None:
-    """Give a node its part of the extra attempts that all nodes together may make in a burst.
+    """Set the burst to a node's part of the extra attempts that all nodes may make together.
 
-    Half is kept back: a window may begin just before one burst and end just after the next.
+    Half is held in reserve, because a window may begin just before one burst and end just after the
+    next.
 
-    :param budgets: the buckets.
-    :param slack: extra attempts of all nodes for one service.
-    :param nodes: how many nodes there are.
+    :param budgets: the buckets of all services.
+    :param slack: extra attempts that all nodes together may make for one service.
+    :param nodes: the number of nodes.
     """
     budgets.burst = slack / (2 * max(1, nodes))
     for bucket in budgets.buckets.values():
@@ -86,11 +87,11 @@
 
 
 def spend(budget: Budget) -> bool:
-    """Take one extra attempt and return whether there was one.
+    """Take one extra attempt out of the bucket, and return whether there was one.
 
     :param budget: the bucket.
     """
-    # The level is a sum of tenths; the tolerance keeps rounding from withholding a whole attempt.
+    # The level is a sum of fractions; without the tolerance, rounding could withhold an attempt.
     if budget.level < 1.0 - 1e-9:
         return False
     budget.level -= 1.0
--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -1,4 +1,9 @@
-"""Rules of a cell: its row, claims, members, and which shard may be granted to whom."""
+"""Decisions of a cell's coordinator and standbys, as pure functions of state, event and time.
+
+A cell is a group of nodes with one coordinator, which renews their leases, assigns shards to them
+and commits the assignments to the table. This module covers the rows in the table, claims of the
+cell, the consent of standbys, leases, and which shards to revoke, commit and grant.
+"""
 
 import collections.abc
 import dataclasses
@@ -17,19 +22,19 @@
 
 PAGE_PARTITIONS = 64
 MAX_STANDBYS = 2
-# A standby that has missed one request for consent, with the time of a slow reply, is replaced.
-# Its last consent still counts for another 100 ms, so renewals go on while the row is written.
+# A standby is replaced after missing one request for consent and the time of a slow reply. Its last
+# consent is valid for another 100 ms, so renewals continue while the row is written.
 STANDBY_SILENCE_S = 0.200
-# Two heartbeats lost: the nodes are out of reach of the coordinator.
+# After two lost heartbeats, a node counts as out of reach of the coordinator.
 NODE_SILENCE_S = 0.300
-# Reports in a row, from a node that is renewed, that its lease is not valid.
+# A node that reports this often in a row that its lease isn't valid doesn't receive its renewals.
 MAX_UNRECEIVED_RENEWALS = 3
-# Route and member versions of a term are above those of every earlier term.
+# The term is the high part of route and member versions, so they exceed those of earlier terms.
 TERM_SHIFT = 32
 
 
 class NodeInstance(msgspec.Struct, kw_only=True, frozen=True):
-    """A process that is named in the cell row."""
+    """One process of a node, as the cell row names it."""
 
     node: identity.NodeId
     incarnation: identity.Incarnation
@@ -37,7 +42,7 @@
 
 
 class CellRow(msgspec.Struct, kw_only=True, frozen=True):
-    """The row ``cell/{cell}``."""
+    """The row ``cell/{cell}``, which names the coordinator of a term and its standbys."""
 
     term: identity.Term
     coordinator: NodeInstance
@@ -53,7 +58,7 @@
 
 
 class PageRow(msgspec.Struct, kw_only=True, frozen=True):
-    """The row ``page/{service}/{n}``."""
+    """The row ``page/{service}/{n}`` with the assignments of up to 64 partitions."""
 
     entries: list[PageEntry] = []
 
@@ -68,18 +73,18 @@
 
 
 class HotRow(msgspec.Struct, kw_only=True, frozen=True):
-    """The row ``hot/{service}``."""
+    """The row ``hot/{service}`` with the assignments of a service's hot keys."""
 
     entries: list[HotEntry] = []
 
 
 class HeartbeatAnswer(enum.Enum):
-    """How the coordinator answers a heartbeat."""
+    """The coordinator's answer to a heartbeat."""
 
     RENEW = "renew"
-    # The standbys have not all consented, or a cell of several nodes has none.
+    # Not all standbys have consented, or the cell has several nodes but no standby.
     NO_CONSENT = "no-consent"
-    # The coordinator does not know what the node holds and has to ask.
+    # The coordinator does not know which shards the node holds and has to ask.
     COLLECT = "collect"
     # The lease of the node's previous process has not expired yet.
     OLD_INCARNATION = "old-incarnation"
@@ -93,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Holder:
-    """A node that may be serving a shard, and what it was last told of it."""
+    """What a node that may be serving a shard was last granted of it."""
 
     fence: identity.Fence
     excluded: frozenset[identity.KeyId] = frozenset()
@@ -103,38 +108,38 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Assignment:
-    """A shard: its committed owner, and everybody who may still be serving it."""
+    """A shard's committed owner and all nodes that may still be serving it."""
 
     owner: identity.NodeId = lease.NOBODY
     fence: identity.Fence = identity.Fence(0)
-    # The partition of a key that is a shard of its own.
+    # The partition of a key, if the shard is a key that was split off.
     parent: identity.ShardId | None = None
     holders: dict[identity.NodeId, Holder] = dataclasses.field(default_factory=dict)
     # The node that the shard is being moved to, and why.
     target: identity.NodeId | None = None
     reason: assignment.MoveReason | None = None
-    # Whether the shard may be granted under its committed fencing token: nobody has been granted
-    # it, or the former holder has handed over the token memory.
+    # Whether the shard may be granted under its committed fencing token: no node has been granted
+    # it yet, or its former holder has handed over the token memory.
     is_grantable: bool = False
-    # The shard stays without a holder until then.
+    # The earliest time at which the shard may get a new holder.
     free_at_s: float = -math.inf
-    # The key went back into its partition; the entry remains until nobody holds it.
+    # The key was merged back into its partition; the entry remains until no node holds it.
     is_merged: bool = False
+    # The routes version of the last change.
     changed_version: int = 0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NodeLease:
-    """A node's lease as the coordinator counts it."""
+    """A node's lease as the coordinator counts it, so that it expires later than at the node."""
 
     member: message.Member
     end_s: float
     last_heartbeat_at_s: float
-    # Consecutive heartbeats that reported no valid lease although the one before was answered by a
-    # renewal.
+    # Consecutive heartbeats that reported no valid lease although the previous one was renewed.
     unreceived: int = 0
     is_answered: bool = False
-    # Whether it has been renewed since its holdings were collected, or reported any.
+    # Whether the lease was renewed since the node's holdings were collected, or there were any.
     is_renewed: bool = False
     loads: list[message.ShardLoad] = dataclasses.field(default_factory=list)
     hot_keys: list[tuple[identity.ServiceId, identity.KeyId, float]] = dataclasses.field(
@@ -144,7 +149,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Coordinator:
-    """State of the coordinator. It is replaced, never changed."""
+    """State of the coordinator. It is replaced rather than changed in place."""
 
     cell: identity.CellId
     instance: NodeInstance
@@ -152,16 +157,16 @@
     row: CellRow
     # When the coordinator took up the role.
     started_at_s: float
-    # Until then, nodes that have not answered may serve under leases of the former coordinator.
+    # Until this time, nodes that have not answered may serve under the former coordinator's leases.
     unknown_until_s: float
-    # Standbys of a write of the cell row that is under way or whose outcome is not known.
+    # Standbys in a write of the cell row whose outcome is not yet known.
     proposed_standbys: list[NodeInstance] = dataclasses.field(default_factory=list)
     consents: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
     leases: dict[identity.NodeId, NodeLease] = dataclasses.field(default_factory=dict)
     assignments: dict[identity.ShardId, Assignment] = dataclasses.field(default_factory=dict)
-    # By node, the digest of what it is counted to hold.
+    # By node, the digest of the holdings that the coordinator attributes to it.
     digests: dict[identity.NodeId, int] = dataclasses.field(default_factory=dict)
-    # Keys that were shards of their own, with the routes version of their removal.
+    # Keys that were merged back into their partition, with the routes version of the merge.
     removed_keys: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
     pending_splits: dict[identity.ShardId, identity.ShardId] = dataclasses.field(
         default_factory=dict
@@ -190,7 +195,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Transaction:
-    """One conditional write of the table and what it changes."""
+    """A conditional write to the table and the changes that it commits."""
 
     expected: dict[str, int]
     writes: dict[str, bytes | None]
@@ -199,13 +204,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Actions:
-    """What the coordinator has to send now."""
+    """The revokes and grants that the coordinator has to send now."""
 
     revokes: list[tuple[identity.NodeId, identity.ShardId]]
     grants: dict[identity.NodeId, list[message.Holding]]
 
 
 T = typing.TypeVar("T")
+# Returns, by service, for how many seconds requests of a lost owner may still run.
 FindGrace = collections.abc.Callable[[identity.ServiceId], float]
 FindParent = collections.abc.Callable[[identity.ShardId], identity.ShardId]
 
@@ -230,7 +236,7 @@
 
 
 def name_assignment_row(shard: identity.ShardId) -> str:
-    """Return the key of the row that holds a shard's assignment.
+    """Return the key of the row that contains a shard's assignment.
 
     :param shard: a partition or a key.
     """
@@ -257,7 +263,7 @@
 
 
 def read_members(rows: collections.abc.Mapping[str, platform.Row]) -> list[message.Member]:
-    """Return the nodes that have announced themselves; a row that can't be read names none.
+    """Return the nodes that have announced themselves. Unreadable rows are logged and skipped.
 
     :param rows: the rows by name.
     """
@@ -265,9 +271,10 @@
     for name, row in rows.items():
         decoded = decoding.decode(row.value, message.Member, find_member_fault)
         fault = "" if isinstance(decoded, result.Success) else decoded.failure()
-        # An entry that names another node would tell that this one has ended.
+        # The announcement of a later process shows that a node's process has ended, so a row with
+        # another node's announcement must not be used.
         if not fault and name_node_row(decoded.unwrap().node) != name:
-            fault = "the announcement is of another node"
+            fault = "the announcement names another node"
         if fault:
             decision.record(log, logging.ERROR, "row-unreadable", row=name, cause=fault)
         else:
@@ -276,14 +283,18 @@
 
 
 def find_member_fault(member: message.Member) -> str:
-    """Return what is wrong with a node's announcement, or an empty text.
+    """Return what is wrong with a node's announcement, or an empty string.
 
     :param member: the announcement.
     """
     for address in (member.peer_address, member.hop_address):
         if not decoding.is_address(address):
             return f"address {address!r} is not host:port"
-    return "" if 0 <= member.slots <= decoding.MAX_SLOTS else f"{member.slots} slots"
+    return (
+        ""
+        if 0 <= member.slots <= decoding.MAX_SLOTS
+        else f"number of slots {member.slots} is out of range"
+    )
 
 
 def _decode(value: bytes, kind: type[T]) -> T:
@@ -299,21 +310,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Standby:
-    """What a node has promised to coordinators."""
+    """A node's promise to coordinators not to claim the cell before a certain time."""
 
     promised_until_s: float = -math.inf
-    # A claim whose outcome is not known may have taken effect; no consent is given meanwhile.
+    # No consent is given while the outcome of a claim is unknown, because it may have taken effect.
     is_claiming: bool = False
 
 
 def give_consent(
     standby: Standby, *, followed_term: identity.Term, requested_term: identity.Term, now: float
 ) -> Standby | None:
-    """Return the state after a consent, or ``None`` if it is refused.
+    """Return the state after giving consent, or ``None`` if consent is refused.
 
     :param standby: the state.
     :param followed_term: the highest term that the node has followed.
-    :param requested_term: the term of the coordinator that asks.
+    :param requested_term: the term of the coordinator that asks for consent.
     :param now: the time in seconds at which the request was received.
     """
     if standby.is_claiming or requested_term < followed_term:
@@ -332,12 +343,12 @@
     read_at_s: float,
     now: float,
 ) -> float | None:
-    """Return when every lease under a cell row has expired if it is claimed now.
+    """Return the time at which every lease under a cell row has expired if it is claimed now.
 
-    ``None`` means that the row must not be claimed. A standby waits for the end of its promise.
-    Another process may claim if a process named in the row is known to have ended, because then no
-    lease is renewed once the last consent has run out. It has ended if the claimant listens on its
-    address, or if a later process announced itself under its node id.
+    ``None`` means that the row must not be claimed. A standby may claim after the end of its
+    promise. A process that isn't named in the row may claim if one that is has ended, because no
+    lease is renewed then once the last consent has run out. A process has ended if the claimant
+    listens on its address, or if a later process announced itself under its node id.
 
     :param row: the cell row, or ``None`` if there is none.
     :param instance: the claimant.
@@ -386,7 +397,7 @@
 
 
 def hand_over(row: CellRow, instance: NodeInstance) -> CellRow:
-    """Return the cell row by which a coordinator that stops names its successor.
+    """Return the cell row in which a stopping coordinator names its successor.
 
     :param row: the row that it replaces.
     :param instance: one of its standbys.
@@ -432,43 +443,43 @@
 def load_rows(
     state: Coordinator, rows: dict[str, tuple[bytes, int]], find_grace: FindGrace
 ) -> Coordinator:
-    """Take assignments as they are found in the table.
+    """Update the assignments from rows of the table.
 
-    After a claim nobody is known to hold them, and they stay blocked until the leases of the former
-    coordinator have expired. Later, a row differs from the coordinator's view only because of a
-    write of its own whose reply was lost; what that write assigned has not been granted.
+    After a claim, the holders of the shards are unknown, and no shard is granted until the leases
+    of the former coordinator have expired. Later, a row differs from the coordinator's state only
+    if the reply to one of its own writes was lost; what that write assigned was not yet granted.
 
     :param state: the coordinator.
     :param rows: values and versions of ``page/`` and ``hot/`` rows.
-    :param find_grace: by service, how long a shard stays free after a loss, in seconds.
+    :param find_grace: returns, by service, the grace period in seconds after the loss of an owner.
     """
     changes: dict[identity.ShardId, Assignment] = {}
     for name, (value, _) in rows.items():
         service = identity.ServiceId(name.split("/")[1])
         for shard, found in _list_entries(name, service, value):
-            known = state.assignments.get(shard)
-            if known is None:
+            entry = state.assignments.get(shard)
+            if entry is None:
                 free_at = state.unknown_until_s + find_grace(service)
                 changes[shard] = dataclasses.replace(found, free_at_s=free_at)
-            elif (known.owner, known.fence) != (found.owner, found.fence):
+            elif (entry.owner, entry.fence) != (found.owner, found.fence):
                 changes[shard] = dataclasses.replace(
-                    known,
+                    entry,
                     owner=found.owner,
                     fence=found.fence,
                     parent=found.parent,
-                    target=None if known.target == found.owner else known.target,
+                    target=None if entry.target == found.owner else entry.target,
                     is_grantable=True,
                     is_merged=False,
                 )
         if name.startswith("hot/"):
             listed = {shard for shard, _ in _list_entries(name, service, value)}
-            for shard, known in state.assignments.items():
+            for shard, entry in state.assignments.items():
                 if (
                     name_assignment_row(shard) == name
                     and shard not in listed
-                    and not known.is_merged
+                    and not entry.is_merged
                 ):
-                    changes[shard] = dataclasses.replace(known, is_merged=True, target=None)
+                    changes[shard] = dataclasses.replace(entry, is_merged=True, target=None)
     versions = {**state.row_versions, **{name: version for name, (_, version) in rows.items()}}
     return _put_assignments(dataclasses.replace(state, row_versions=versions), changes)
 
@@ -512,9 +523,9 @@
 
 
 def list_required(state: Coordinator) -> list[NodeInstance]:
-    """Return the standbys whose consent a renewal needs.
+    """Return the standbys whose consent is needed for a renewal.
 
-    While the outcome of a write of the cell row is open, both its old and its new standbys count.
+    While the outcome of a write of the cell row is unknown, its old and its new standbys count.
 
     :param state: the coordinator.
     """
@@ -526,7 +537,7 @@
 
 
 def record_consent(state: Coordinator, node: identity.NodeId, sent_at_s: float) -> Coordinator:
-    """Count a consent from the time at which it was asked for.
+    """Record a consent, which is valid from the time at which it was requested.
 
     :param state: the coordinator.
     :param node: the standby.
@@ -539,31 +550,31 @@
 def handle_heartbeat(
     state: Coordinator, heartbeat: message.Heartbeat, now: float
 ) -> tuple[Coordinator, HeartbeatAnswer]:
-    """Decide on a heartbeat; if the answer is ``RENEW``, the lease is counted from now.
+    """Decide how to answer a heartbeat. If the answer is ``RENEW``, the lease is extended.
 
     :param state: the coordinator.
     :param heartbeat: the heartbeat.
     :param now: the time in seconds.
     """
     node = heartbeat.member.node
-    known = state.leases.get(node)
+    node_lease = state.leases.get(node)
     if heartbeat.term > state.row.term:
         return state, HeartbeatAnswer.SUPERSEDED
-    if known is not None and known.member.incarnation != heartbeat.member.incarnation:
+    if node_lease is not None and node_lease.member.incarnation != heartbeat.member.incarnation:
         return state, (
-            HeartbeatAnswer.OLD_INCARNATION if now < known.end_s else HeartbeatAnswer.COLLECT
+            HeartbeatAnswer.OLD_INCARNATION if now < node_lease.end_s else HeartbeatAnswer.COLLECT
         )
-    if known is None or now >= known.end_s or heartbeat.term < state.row.term:
+    if node_lease is None or now >= node_lease.end_s or heartbeat.term < state.row.term:
         return state, HeartbeatAnswer.COLLECT
-    unreceived = 0 if heartbeat.is_live else known.unreceived + int(known.is_answered)
-    heard = dataclasses.replace(
-        known,
+    unreceived = 0 if heartbeat.is_live else node_lease.unreceived + int(node_lease.is_answered)
+    updated = dataclasses.replace(
+        node_lease,
         member=heartbeat.member,
         last_heartbeat_at_s=now,
         unreceived=unreceived,
         is_answered=False,
     )
-    state = _put_lease(state, heard)
+    state = _put_lease(state, updated)
     if heartbeat.config_version > state.config_version:
         return state, HeartbeatAnswer.BEHIND_CONFIG
     if unreceived >= MAX_UNRECEIVED_RENEWALS:
@@ -571,12 +582,12 @@
     if not may_renew(state, node, now):
         return state, HeartbeatAnswer.NO_CONSENT
     renewed = dataclasses.replace(
-        heard,
-        end_s=max(heard.end_s, lease.compute_lease_end(now)),
+        updated,
+        end_s=max(updated.end_s, lease.compute_lease_end(now)),
         is_renewed=True,
         is_answered=True,
-        loads=heartbeat.loads or heard.loads,
-        hot_keys=heartbeat.hot_keys or heard.hot_keys,
+        loads=heartbeat.loads or updated.loads,
+        hot_keys=heartbeat.hot_keys or updated.hot_keys,
     )
     return _put_lease(state, renewed), HeartbeatAnswer.RENEW
 
@@ -584,8 +595,8 @@
 def may_renew(state: Coordinator, node: identity.NodeId, now: float) -> bool:
     """Return whether the coordinator may renew a node's lease.
 
-    Without a standby only the coordinator's own node is renewed: nobody else could tell when the
-    last lease of a lost coordinator ends.
+    Without a standby, only the coordinator's own node is renewed: if the coordinator were lost, no
+    node would know when the last of its leases ends.
 
     :param state: the coordinator.
     :param node: the node.
@@ -600,14 +611,14 @@
 def build_renewal(
     state: Coordinator, heartbeat: message.Heartbeat, quarantine: list[message.Quarantined]
 ) -> message.Renewal:
-    """Return the renewal that answers a heartbeat.
+    """Return the renewal to send in reply to a heartbeat.
 
     :param state: the coordinator, after :func:`hear`.
     :param heartbeat: the heartbeat.
-    :param quarantine: the entries that every node has to know.
+    :param quarantine: the quarantined requests to distribute.
     """
     is_new = heartbeat.members_version != state.members_version
-    members = [known.member for known in state.leases.values()] if is_new else []
+    members = [node_lease.member for node_lease in state.leases.values()] if is_new else []
     return message.Renewal(
         term=state.row.term,
         lease_s=lease.LEASE_S,
@@ -625,10 +636,10 @@
 
 
 def _confirm_holdings(state: Coordinator, node: identity.NodeId) -> int | None:
-    """Return the digest that confirms suspended holdings, or ``None``.
+    """Return the digest that confirms a node's suspended holdings, or ``None``.
 
-    Only what the node holds alone, under the committed fencing token, may be served again. After a
-    claim, another node that has not answered yet may hold anything else.
+    The holdings may be served again only if the node is the sole holder of each, under the
+    committed fencing token. After a claim, nodes that have not answered yet may hold anything else.
     """
     for entry in state.assignments.values():
         holder = entry.holders.get(node)
@@ -668,25 +679,25 @@
     find_parent: FindParent,
     now: float,
 ) -> Coordinator:
-    """Take what a node reports to hold.
+    """Record the shards that a node reports to hold.
 
-    A node that reports a shard may be serving it. Shards that it should not hold are revoked by
-    :func:`list_actions`. Until then it counts as their holder, so nobody else is granted them.
+    The node may be serving them. Those that it should not hold are revoked by
+    :func:`list_actions`; until then it counts as their holder, and they are granted to no other.
 
     :param state: the coordinator.
-    :param following: the node's answer.
+    :param following: the node's report.
     :param find_parent: returns the partition of a key's shard.
     :param now: the time in seconds.
     """
     node = following.member.node
     end_s = max(lease.compute_lease_end(now), state.unknown_until_s)
-    known = NodeLease(
+    node_lease = NodeLease(
         member=following.member,
         end_s=end_s,
         last_heartbeat_at_s=now,
         is_renewed=bool(following.holdings),
     )
-    state = _put_lease(state, known)
+    state = _put_lease(state, node_lease)
     changes: dict[identity.ShardId, Assignment] = {}
     for holding in following.holdings:
         entry = state.assignments.get(holding.shard)
@@ -703,8 +714,8 @@
         changes[holding.shard] = dataclasses.replace(
             entry,
             holders={**entry.holders, node: holder},
-            # The node did not receive the committed fencing token and now refuses it from the
-            # former coordinator, so nobody has served under it.
+            # The node has not received the committed fencing token, and refuses it from the former
+            # coordinator by now, so no request was served under it.
             is_grantable=entry.is_grantable or (is_owner and holding.fence < entry.fence),
         )
     return _put_assignments(state, changes)
@@ -713,13 +724,15 @@
 def expire(
     state: Coordinator, find_grace: FindGrace, now: float
 ) -> tuple[Coordinator, list[identity.NodeId]]:
-    """Drop nodes whose lease has provably expired, and free what they held.
+    """Remove nodes whose lease has expired, and return the state and the removed nodes.
+
+    Their shards become free after the grace period of the service.
 
     :param state: the coordinator.
-    :param find_grace: by service, how long a shard stays free after a loss, in seconds.
+    :param find_grace: returns, by service, the grace period in seconds after the loss of an owner.
     :param now: the time in seconds.
     """
-    lost = [node for node, known in state.leases.items() if now >= known.end_s]
+    lost = [node for node, node_lease in state.leases.items() if now >= node_lease.end_s]
     for node in lost:
         state = _drop_node(state, node, find_grace)
     return state, lost
@@ -727,7 +740,7 @@
 
 def _drop_node(state: Coordinator, node: identity.NodeId, find_grace: FindGrace) -> Coordinator:
     end_s = state.leases[node].end_s
-    leases = {other: known for other, known in state.leases.items() if other != node}
+    leases = {other: node_lease for other, node_lease in state.leases.items() if other != node}
     state = _increment_members_version(dataclasses.replace(state, leases=leases))
     changes = {}
     for shard, entry in state.assignments.items():
@@ -735,7 +748,7 @@
             entry = dataclasses.replace(entry, target=None, reason=None)
             changes[shard] = entry
         if node in entry.holders:
-            holders = {other: held for other, held in entry.holders.items() if other != node}
+            holders = {other: holder for other, holder in entry.holders.items() if other != node}
             service = identity.split_shard(shard)[0]
             free_at = max(entry.free_at_s, end_s + find_grace(service))
             changes[shard] = dataclasses.replace(
@@ -745,10 +758,10 @@
 
 
 def is_drained(state: Coordinator, node: identity.NodeId) -> bool:
-    """Return whether a node that stops has nothing left.
+    """Return whether a stopping node has no shards left.
 
-    For the coordinator's own node, every move must be finished as well, because its successor does
-    not have the token memories that travel with them.
+    For the coordinator's own node, every move must be finished as well, because the coordinator
+    keeps the token memories of moving shards, and its successor does not get them.
 
     :param state: the coordinator.
     :param node: the node.
@@ -759,7 +772,7 @@
     if node != state.instance.node:
         return True
     return all(
-        entry.target is None and all(held.is_acked for held in entry.holders.values())
+        entry.target is None and all(holder.is_acked for holder in entry.holders.values())
         for entry in entries
     )
 
@@ -771,10 +784,10 @@
     :param node: the node.
     :param now: the time in seconds.
     """
-    known = state.leases.get(node)
-    if known is None or not known.is_renewed:
+    node_lease = state.leases.get(node)
+    if node_lease is None or not node_lease.is_renewed:
         return False
-    return now < known.end_s and known.unreceived < MAX_UNRECEIVED_RENEWALS
+    return now < node_lease.end_s and node_lease.unreceived < MAX_UNRECEIVED_RENEWALS
 
 
 def should_step_down(state: Coordinator, now: float) -> bool:
@@ -788,7 +801,9 @@
 
 def _is_majority_silent(state: Coordinator, now: float, silence_s: float) -> bool:
     silent = [
-        known for known in state.leases.values() if now - known.last_heartbeat_at_s > silence_s
+        node_lease
+        for node_lease in state.leases.values()
+        if now - node_lease.last_heartbeat_at_s > silence_s
     ]
     return 2 * len(silent) > len(state.leases)
 
@@ -796,10 +811,10 @@
 def choose_standbys(state: Coordinator, now: float) -> list[NodeInstance]:
     """Return the standbys that the cell row should name.
 
-    Standbys that answer stay. Others are added from zones without coordinator or standby; a node of
-    the coordinator's own zone is taken only if there is no other. A coordinator that hears less
-    than half of the nodes replaces none, because it is about to step down and only the standbys can
-    claim the cell then.
+    Standbys that answer are kept. Others are added from zones without a coordinator or standby; a
+    node of the coordinator's own zone is chosen only if there is no other. A coordinator that hears
+    from less than half of the nodes replaces no standby: it is about to step down, and then only
+    the standbys can claim the cell.
 
     :param state: the coordinator.
     :param now: the time in seconds.
@@ -810,12 +825,12 @@
     zones = {state.zone} | {_find_zone(state, instance.node) for instance in kept}
     named = {instance.node for instance in kept}
     spare = [
-        known.member
-        for node, known in sorted(state.leases.items())
+        node_lease.member
+        for node, node_lease in sorted(state.leases.items())
         if node not in named
         and node != state.instance.node
-        and not known.member.is_leaving
-        and now - known.last_heartbeat_at_s <= STANDBY_SILENCE_S
+        and not node_lease.member.is_leaving
+        and now - node_lease.last_heartbeat_at_s <= STANDBY_SILENCE_S
     ]
     for member in sorted(spare, key=lambda member: member.zone == state.zone):
         if len(kept) >= MAX_STANDBYS or (member.zone in zones and kept):
@@ -826,7 +841,7 @@
 
 
 def make_instance(member: message.Member) -> NodeInstance:
-    """Return how the cell row names a node.
+    """Return the entry of a node in the cell row.
 
     :param member: the node.
     """
@@ -838,7 +853,7 @@
 def propose_standbys(
     state: Coordinator, standbys: list[NodeInstance]
 ) -> tuple[Coordinator, CellRow]:
-    """Return the state during a write of the cell row, and the row.
+    """Return the state during a write of the cell row, and the row to write.
 
     :param state: the coordinator.
     :param standbys: the new standbys; each must have consented already.
@@ -848,7 +863,7 @@
 
 
 def record_cell_row(state: Coordinator, row: CellRow, version: int) -> Coordinator:
-    """Take the cell row as committed or as read back; no write of it is under way.
+    """Record the cell row as committed or as read back, when no write of it is in flight.
 
     :param state: the coordinator.
     :param row: the row.
@@ -859,18 +874,18 @@
 
 
 def _is_silent(state: Coordinator, instance: NodeInstance, now: float) -> bool:
-    known = state.leases.get(instance.node)
-    if known is not None and known.member.incarnation != instance.incarnation:
+    node_lease = state.leases.get(instance.node)
+    if node_lease is not None and node_lease.member.incarnation != instance.incarnation:
         return True
-    if known is not None and known.member.is_leaving:
+    if node_lease is not None and node_lease.member.is_leaving:
         return True
     asked_at = state.consents.get(instance.node, -math.inf) - lease.CONSENT_S
     return now > max(asked_at, state.started_at_s) + STANDBY_SILENCE_S
 
 
 def _find_zone(state: Coordinator, node: identity.NodeId) -> identity.ZoneId:
-    known = state.leases.get(node)
-    return known.member.zone if known is not None else identity.ZoneId("")
+    node_lease = state.leases.get(node)
+    return node_lease.member.zone if node_lease is not None else identity.ZoneId("")
 
 
 # Assignment
@@ -879,16 +894,18 @@
 def build_view(
     state: Coordinator, shards: collections.abc.Container[identity.ShardId], now: float
 ) -> assignment.PlacementView:
-    """Return what placement may consider.
+    """Return the input of placement.
 
-    A shard that is being moved is shown at its target, and one whose owner was lost without owner.
+    The owner of a moving shard is the node that it moves to; one whose owner was lost has none.
 
     :param state: the coordinator.
     :param shards: the partitions of the configuration in force.
     :param now: the time in seconds.
     """
     members = {
-        node: known.member for node, known in state.leases.items() if is_member(state, node, now)
+        node: node_lease.member
+        for node, node_lease in state.leases.items()
+        if is_member(state, node, now)
     }
     owners: dict[identity.ShardId, identity.NodeId | None] = {}
     for shard, entry in state.assignments.items():
@@ -900,11 +917,15 @@
     return assignment.PlacementView(
         members=members,
         owners=owners,
-        loads={entry.shard: entry.load for known in state.leases.values() for entry in known.loads},
+        loads={
+            entry.shard: entry.load
+            for node_lease in state.leases.values()
+            for entry in node_lease.loads
+        },
         hot_keys={
             identity.name_key(service, key): share
-            for known in state.leases.values()
-            for service, key, share in known.hot_keys
+            for node_lease in state.leases.values()
+            for service, key, share in node_lease.hot_keys
         },
         now_s=now,
     )
@@ -913,7 +934,7 @@
 def apply_plan(
     state: Coordinator, plan: assignment.Plan, find_parent: FindParent, now: float
 ) -> Coordinator:
-    """Note the moves, splits and merges of a plan that can be carried out.
+    """Start the moves, splits and merges of a plan that are possible.
 
     :param state: the coordinator.
     :param plan: the plan.
@@ -929,7 +950,7 @@
         if entry is None or entry.target is not None or move.shard in pending:
             continue
         if not entry.holders and not entry.is_grantable and now < entry.free_at_s:
-            # Its owner may still answer and keep it.
+            # The owner may still report that it holds the shard, and keep it.
             continue
         is_idle = move.target == entry.owner and (entry.is_grantable or bool(entry.holders))
         if is_member(state, move.target, now) and not is_idle and not entry.is_merged:
@@ -970,7 +991,7 @@
 
 
 def _is_steady(entry: Assignment, excluded: frozenset[identity.KeyId]) -> bool:
-    """Return whether a shard is with its owner, which is so for nearly all at any time."""
+    """Return whether a shard needs no action, as is the case for nearly all shards at any time."""
     holder = entry.holders.get(entry.owner)
     if holder is None or len(entry.holders) > 1 or entry.target is not None or entry.is_merged:
         return False
@@ -1025,13 +1046,13 @@
 def _is_exclusive(
     state: Coordinator, shard: identity.ShardId, entry: Assignment, merged: list[Assignment]
 ) -> bool:
-    """Return whether nobody else can serve the keys of the shard under another shard."""
+    """Return whether no other node can serve keys of the shard as part of another shard."""
     if entry.parent is not None:
         parent = state.assignments.get(entry.parent, Assignment())
         key = identity.split_shard(shard)[2]
         return all(
-            node == entry.owner or (held.is_acked and key in held.excluded)
-            for node, held in parent.holders.items()
+            node == entry.owner or (holder.is_acked and key in holder.excluded)
+            for node, holder in parent.holders.items()
         )
     return all(
         node == entry.owner and node in entry.holders
@@ -1044,7 +1065,7 @@
 def record_grant_sent(
     state: Coordinator, node: identity.NodeId, holdings: list[message.Holding]
 ) -> Coordinator:
-    """Count a node as holder of shards that are about to be granted to it.
+    """Record a node as holder of shards that are about to be granted to it.
 
     :param state: the coordinator.
     :param node: the node.
@@ -1061,21 +1082,21 @@
 def record_grant_accepted(
     state: Coordinator, node: identity.NodeId, holdings: list[message.Holding]
 ) -> Coordinator:
-    """Note that a node has accepted a grant.
+    """Record that a node has accepted a grant.
 
     :param state: the coordinator.
     :param node: the node.
-    :param holdings: what was granted.
+    :param holdings: the holdings that were granted.
     """
     changes = {}
     merged = {shard: entry for shard, entry in state.assignments.items() if entry.is_merged}
     for holding in holdings:
         entry = state.assignments.get(holding.shard)
         holder = entry.holders.get(node) if entry is not None else None
-        told = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
-        if entry is None or holder is None or holder != told:
+        granted = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
+        if entry is None or holder is None or holder != granted:
             continue
-        acked = dataclasses.replace(told, is_acked=True)
+        acked = dataclasses.replace(granted, is_acked=True)
         changes[holding.shard] = dataclasses.replace(entry, holders={**entry.holders, node: acked})
         for shard, child in merged.items():
             if child.parent == holding.shard and node in child.holders:
@@ -1090,16 +1111,16 @@
     *,
     has_memory: bool,
 ) -> Coordinator:
-    """Note that a node does not hold a shard and will not take an earlier grant of it.
+    """Record that a node does not hold a shard and will not accept an earlier grant of it.
 
-    A release under an earlier fencing token says nothing of what was served under the committed
-    one, so its token memory does not make the shard ready.
+    A release under an earlier fencing token doesn't show what was served under the committed one,
+    so its token memory does not make the shard grantable.
 
     :param state: the coordinator.
     :param node: the node.
     :param shard: the shard.
-    :param has_memory: whether the token memory of the node is at hand, or the node has not held the
-        shard.
+    :param has_memory: whether the coordinator has the node's token memory, or the node has not held
+        the shard.
     """
     entry = state.assignments.get(shard)
     if entry is None or node not in entry.holders:
@@ -1113,7 +1134,7 @@
 def cancel_moves(
     state: Coordinator, shards: collections.abc.Iterable[identity.ShardId]
 ) -> Coordinator:
-    """Give up moves that are not committed; their shards go back to the committed owner.
+    """Cancel moves that are not committed; their shards return to the committed owner.
 
     :param state: the coordinator.
     :param shards: the shards.
@@ -1127,7 +1148,7 @@
 
 
 def _drop_holder(entry: Assignment, node: identity.NodeId) -> Assignment:
-    holders = {other: held for other, held in entry.holders.items() if other != node}
+    holders = {other: holder for other, holder in entry.holders.items() if other != node}
     return dataclasses.replace(entry, holders=holders)
 
 
@@ -1146,19 +1167,19 @@
     moved = {change.shard for change in changes}
     for shard, parent in state.pending_splits.items():
         if shard not in state.assignments and _is_stable(state, parent) and parent not in moved:
-            held = state.assignments[parent]
-            changes.append(_make_split(shard, parent, held))
+            parent_entry = state.assignments[parent]
+            changes.append(_make_split(shard, parent, parent_entry))
             moved.add(parent)
     for shard in sorted(state.pending_merges):
         entry = state.assignments.get(shard)
-        parent_of = entry.parent if entry is not None else None
-        if entry is None or parent_of is None or moved & {shard, parent_of}:
+        partition = entry.parent if entry is not None else None
+        if entry is None or partition is None or moved & {shard, partition}:
             continue
-        if not (_is_stable(state, shard) and _is_stable(state, parent_of)):
+        if not (_is_stable(state, shard) and _is_stable(state, partition)):
             continue
-        if state.assignments[parent_of].owner == entry.owner:
-            changes += _make_merge(shard, entry, parent_of, state.assignments[parent_of])
-            moved |= {shard, parent_of}
+        if state.assignments[partition].owner == entry.owner:
+            changes += _make_merge(shard, entry, partition, state.assignments[partition])
+            moved |= {shard, partition}
     if not changes:
         return None
     names = sorted({name_assignment_row(change.shard) for change in changes})
@@ -1211,13 +1232,15 @@
     return holder.is_acked and holder.fence == entry.fence
 
 
-def _make_split(shard: identity.ShardId, parent: identity.ShardId, held: Assignment) -> Change:
-    # The key's fencing token is above its partition's, because targets may compare them by key.
+def _make_split(
+    shard: identity.ShardId, parent: identity.ShardId, parent_entry: Assignment
+) -> Change:
+    # The key's fencing token exceeds its partition's, because targets may compare tokens by key.
     return Change(
         shard=shard,
-        previous_owner=held.owner,
-        owner=held.owner,
-        fence=_next_fence(held),
+        previous_owner=parent_entry.owner,
+        owner=parent_entry.owner,
+        fence=_next_fence(parent_entry),
         reason=assignment.MoveReason.HOT_KEY,
         parent=parent,
         is_split=True,
@@ -1225,7 +1248,7 @@
 
 
 def _make_merge(
-    shard: identity.ShardId, entry: Assignment, parent: identity.ShardId, held: Assignment
+    shard: identity.ShardId, entry: Assignment, parent: identity.ShardId, parent_entry: Assignment
 ) -> list[Change]:
     key = Change(
         shard=shard,
@@ -1238,9 +1261,9 @@
     )
     partition = Change(
         shard=parent,
-        previous_owner=held.owner,
-        owner=held.owner,
-        fence=_next_fence(entry, held),
+        previous_owner=parent_entry.owner,
+        owner=parent_entry.owner,
+        fence=_next_fence(entry, parent_entry),
         reason=assignment.MoveReason.HOT_KEY,
     )
     return [key, partition]
@@ -1273,7 +1296,7 @@
 
 
 def apply_changes(state: Coordinator, changes: list[Change]) -> Coordinator:
-    """Take changes that are committed.
+    """Apply committed changes to the assignments.
 
     :param state: the coordinator.
     :param changes: the changes.
@@ -1282,7 +1305,7 @@
     for change in changes:
         entry = state.assignments.get(change.shard, Assignment())
         if change.is_split:
-            # The node serves the key under its partition until it has the grant that splits them.
+            # The node serves the key as part of its partition until it receives the grant.
             holder = Holder(fence=identity.Fence(change.fence - 1))
             entry = Assignment(holders={change.owner: holder})
         updated[change.shard] = dataclasses.replace(
@@ -1307,10 +1330,10 @@
 
 
 def record_commit(state: Coordinator, transaction: Transaction) -> Coordinator:
-    """Note the versions of rows after a commit.
+    """Record the versions of rows after a commit.
 
-    A row that is written again is counted one version higher; if the table counts otherwise, the
-    next commit conflicts and the rows are read back.
+    Each written row is assumed to be one version higher. If the table counts differently, the next
+    commit conflicts and the rows are read back.
 
     :param state: the coordinator.
     :param transaction: the committed write.
@@ -1319,7 +1342,7 @@
     return dataclasses.replace(state, row_versions={**state.row_versions, **written})
 
 
-# Updates that keep digests and versions in step
+# Updates that also maintain digests and versions
 
 
 def _put_assignments(
@@ -1363,13 +1386,13 @@
     return lease.digest_holdings([holding])
 
 
-def _put_lease(state: Coordinator, known: NodeLease) -> Coordinator:
-    node = known.member.node
+def _put_lease(state: Coordinator, node_lease: NodeLease) -> Coordinator:
+    node = node_lease.member.node
     before = state.leases.get(node)
-    state = dataclasses.replace(state, leases={**state.leases, node: known})
+    state = dataclasses.replace(state, leases={**state.leases, node: node_lease})
     return (
         state
-        if before is not None and before.member == known.member
+        if before is not None and before.member == node_lease.member
         else _increment_members_version(state)
     )
 
--- a/src/ebonyvalve/process/commit.py
+++ b/src/ebonyvalve/process/commit.py
@@ -1,4 +1,4 @@
-"""Settles a conditional write whose reply was lost, by reading the table back."""
+"""Conditional writes whose outcome is found by reading the rows back if the reply is lost."""
 
 import enum
 
@@ -16,31 +16,31 @@
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
-    # No row has changed. The write was not applied, or not yet.
+    # No row has changed: the write was not applied, but may be applied later.
     UNCHANGED = "unchanged"
-    # Rows have changed so often, or so, that the write cannot be told from others.
+    # Other writes have changed the rows so that this one's outcome can't be determined.
     AMBIGUOUS = "ambiguous"
 
 
 def classify_write(
     expected: platform.Expected, writes: platform.Writes, rows: dict[str, platform.Row]
 ) -> WriteOutcome:
-    """Decide from the rows whether a write was applied.
+    """Determine from the rows whether a write was applied.
 
     Every value must be unique to its writer and attempt, for example by containing the writer's
     incarnation and term, because another writer may have reached the same version. As a write is
-    all or nothing, one row that shows it is enough.
+    atomic, one row that shows it is enough.
 
     :param expected: the version that was required of each key.
     :param writes: the new value of each key; ``None`` deletes it.
-    :param rows: what was read back for all keys of both.
+    :param rows: the rows as read back, for all keys of both.
     """
     for key, value in writes.items():
         if value is not None and rows[key].version > 0 and rows[key].value == value:
             return WriteOutcome.COMMITTED
-    # A row with a version above 0 never returns to it, so that a write that is blocked by one can't
-    # be applied later. A missing row that was created may be deleted again, and then let through a
-    # write that is still on its way.
+    # A version above 0 never recurs, so a write that fails such a condition can't apply later.
+    # A row that was expected to be missing may be created and deleted again, and then satisfy the
+    # condition of a write that is still in flight.
     is_blocked = any(
         version > 0 and rows[key].version != version for key, version in expected.items()
     )
@@ -52,10 +52,11 @@
 
 
 def _shows_not_applied(version: int | None, row: platform.Row) -> bool:
-    """Return whether a written row, which has another value, shows that the write is not applied.
+    """Return whether a row that has another value than the written one shows that the write failed.
 
-    The next version, if another writer has it, was not ours. A row that was deleted before resumes
-    at an unknown version, so that a missing row's next version is known only if it is 1.
+    The next version after the expected one belongs to another writer then. A deleted row that is
+    created again resumes at an unknown version, so the next version of a missing row is known only
+    if it is 1.
     """
     if version is None:
         return False
@@ -65,20 +66,20 @@
 async def commit_and_verify(
     table: platform.Table, expected: platform.Expected, writes: platform.Writes
 ) -> platform.CommitState:
-    """Commit a conditional write and settle an unknown reply by reading back.
+    """Commit a conditional write, and read the rows back if the outcome is unknown.
 
-    If no row has changed, the write may still be on its way. It is sent again: whichever of the two
-    is applied first makes the other one conflict. ``UNKNOWN`` is returned if the table does not
-    answer, or if later writes have hidden whether this one was applied.
+    If no row has changed, the write may still be in flight, so it is sent again: whichever of the
+    two is applied first makes the other one conflict. ``UNKNOWN`` is returned if the table does not
+    answer, or if later writes hide whether this one was applied.
 
     :param table: the table service.
     :param expected: the version that each key must have; 0 for a missing row.
-    :param writes: the new value of each key, unique to this write (see :func:`judge`).
+    :param writes: the new value of each key, unique to this write (see :func:`classify_write`).
     """
     state = await table.commit(expected, writes)
     if state is not platform.CommitState.UNKNOWN:
         return state
-    # Without a written row under a condition, sending again could undo the write of another.
+    # Unless a written row has a condition, repeating the write could undo another writer's.
     is_repeatable = any(key in expected for key in writes)
     for attempt in range(MAX_READ_BACKS):
         outcome = await _read_back(table, expected, writes)
@@ -93,7 +94,7 @@
             if state is platform.CommitState.COMMITTED:
                 return state
             if state is platform.CommitState.CONFLICT:
-                # Either the first send was applied in between, or another writer's commit.
+                # Either the first attempt or another writer's commit was applied in the meantime.
                 continue
         await trio.sleep(READ_BACK_PAUSE_S * 2**attempt)
     return platform.CommitState.UNKNOWN
--- a/src/ebonyvalve/process/handover.py
+++ b/src/ebonyvalve/process/handover.py
@@ -1,4 +1,4 @@
-"""Moves the token memory of shards in and out of a node, and ends or cancels their requests."""
+"""Moves token memories of shards in and out of a node, and waits for or cancels their requests."""
 
 import collections.abc
 
@@ -10,11 +10,11 @@
 async def release(
     here: site.Site, clock: timer.Timer, shards: list[identity.ShardId]
 ) -> list[message.TokenMemory]:
-    """Return the token memories of shards once none of their requests can run here.
+    """Return and drop the token memories of shards once none of their requests can run here.
 
     :param here: the node's state.
     :param clock: the timer service.
-    :param shards: shards for which no new request starts.
+    :param shards: the shards; no new request of them may start.
     """
     await site.wait_landed(here, shards)
     ends = [here.doubts.pop(shard) for shard in shards if shard in here.doubts]
@@ -31,11 +31,11 @@
 def install(
     here: site.Site, moved: list[message.TokenMemory], find_token_life: FindTokenLife
 ) -> None:
-    """Put the token memories of granted shards in place.
+    """Import the token memories of granted shards.
 
-    :param here: the node's state; it holds the shards already.
-    :param moved: from the former owners.
-    :param find_life: returns the life in seconds of a service's tokens.
+    :param here: the node's state; the node must hold the shards already.
+    :param moved: the memories from the former owners.
+    :param find_token_life: returns the life in seconds of a service's tokens.
     """
     for entry in moved:
         held = here.read_node().holdings.get(entry.shard)
@@ -52,15 +52,15 @@
     recipient: message.Holding,
     find_token_life: FindTokenLife,
 ) -> None:
-    """Give the memory of one holding to another one at this node.
+    """Transfer the memory of one holding to another holding at this node.
 
-    A key that is split off takes its part of the partition's memory. A key that goes back, and a
-    shard that stays under a higher fencing token, hand over the whole.
+    A key that is split off takes its part of its partition's memory. A key that is merged back, and
+    a shard that stays under a higher fencing token, transfer all of theirs.
 
     :param here: the node's state.
-    :param source: the holding whose memory is inherited.
-    :param heir: the holding that inherits it.
-    :param find_life: returns the life in seconds of a service's tokens.
+    :param source: the holding whose memory is transferred.
+    :param recipient: the holding that receives it.
+    :param find_token_life: returns the life in seconds of a service's tokens.
     """
     service, _, key = identity.split_shard(recipient.shard)
     life_s = find_token_life(service)
@@ -78,10 +78,10 @@
 
 
 def forget(here: site.Site, shards: list[identity.ShardId]) -> None:
-    """Drop the memories and the accounts of shards.
+    """Drop the token memories and the load accounts of shards.
 
     :param here: the node's state.
-    :param shards: shards that the node holds no more, or holds without their former memory.
+    :param shards: shards that the node no longer holds, or holds without their former memory.
     """
     for shard in shards:
         found = here.memories.pop(shard, None)
@@ -91,7 +91,7 @@
 
 
 def cancel_requests(here: site.Site, shards: list[identity.ShardId]) -> None:
-    """Cancel the requests of shards that the node may not serve at present.
+    """Cancel the requests of shards that the node must not serve at present.
 
     :param here: the node's state.
     :param shards: the shards.
--- a/src/ebonyvalve/process/lease.py
+++ b/src/ebonyvalve/process/lease.py
@@ -1,4 +1,8 @@
-"""Rules of a node's lease and of the consents behind it: state, event and time in, value out."""
+"""A node's lease, the shards it holds, and the consents that allow its renewal.
+
+Pure functions of state, event and time. A node serves shards only while its lease is valid, and
+the coordinator renews leases only while its standbys have consented not to claim the cell.
+"""
 
 import collections.abc
 import dataclasses
@@ -13,7 +17,7 @@
 LEASE_S = 0.450
 CONSENT_S = 0.300
 CONSENT_PERIOD_S = 0.100
-# Clocks of two VMs may run apart by this fraction. The granting side adds it to what it counts.
+# The clocks of two VMs may drift apart by this fraction. The side that waits for an expiry adds it.
 MAX_CLOCK_DRIFT = 0.001
 
 NOBODY = identity.NodeId("")
@@ -23,18 +27,18 @@
     """Whether a node may serve a shard that it holds."""
 
     SERVING = "serving"
-    # The lease lapsed. The coordinator may have granted the shard to another node since, so it
-    # has to confirm the holding before it is served again.
+    # The lease has lapsed. The coordinator may have granted the shard to another node since then,
+    # so it has to confirm the holding before the node serves it again.
     SUSPENDED = "suspended"
-    # The coordinator asked for the shard; requests in flight are finishing.
+    # The coordinator has revoked the shard; requests in flight are finishing.
     RELEASING = "releasing"
 
 
 class RenewalState(enum.Enum):
-    """What became of a renewal at the node."""
+    """Result of applying a renewal at the node."""
 
     APPLIED = "applied"
-    # It is of another term, or of an older configuration than the node has.
+    # The renewal is of another term, or of an older configuration than the node's.
     STALE = "stale"
     # The node lacks the configuration that the renewal names.
     NEEDS_CONFIG = "needs-config"
@@ -47,14 +51,14 @@
     fence: identity.Fence
     excluded: frozenset[identity.KeyId] = frozenset()
     state: HoldingState = HoldingState.SERVING
-    # Whether the lease has lapsed before or during a release, so that a release that is dropped
-    # leaves the shard suspended.
+    # Whether the lease lapsed before or during a release. If the release is cancelled, the shard
+    # is suspended again instead of served.
     was_suspended: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Node:
-    """A node's view of its lease, its shards and the cell. It is replaced, never changed."""
+    """A node's view of its lease, its shards and the cell. It is replaced, not changed in place."""
 
     node: identity.NodeId
     incarnation: identity.Incarnation
@@ -63,22 +67,22 @@
     coordinator_address: identity.Address = identity.Address("")
     lease_end_s: float = -math.inf
     holdings: dict[identity.ShardId, HeldShard] = dataclasses.field(default_factory=dict)
-    # Digest of the holdings, compared with the coordinator's view of them.
+    # Digest of the holdings, which is compared with the coordinator's.
     digest: int = 0
     routes: dict[identity.ShardId, message.Route] = dataclasses.field(default_factory=dict)
     routes_version: int = 0
     members: dict[identity.NodeId, message.Member] = dataclasses.field(default_factory=dict)
     members_version: int = 0
     config_version: identity.ConfigVersion = identity.ConfigVersion(0)
-    # Orders of the coordinator are numbered within a term. An order that a later one overtook is
-    # refused: per shard, and for all shards below the number of the last Follow.
+    # The coordinator numbers its Follow, Revoke and Grant messages within a term. Revoke and Grant
+    # are refused if a later one for the same shard, or a later Follow, arrived before.
     follow_sequence: int = 0
     shard_sequences: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PendingHeartbeat:
-    """A heartbeat under way."""
+    """A heartbeat that awaits its renewal."""
 
     term: identity.Term
     coordinator: identity.NodeId
@@ -121,7 +125,7 @@
 
 
 def list_holdings(state: Node) -> list[message.Holding]:
-    """Return what the node holds, in whatever state.
+    """Return the shards that the node holds in any state.
 
     :param state: the node.
     """
@@ -132,7 +136,7 @@
 
 
 def digest_holdings(holdings: collections.abc.Iterable[message.Holding]) -> int:
-    """Return a digest of shards, fencing tokens and excluded keys, whatever their order.
+    """Return a digest of shards, fencing tokens and excluded keys that ignores their order.
 
     :param holdings: the holdings.
     """
@@ -144,10 +148,10 @@
 
 
 def lapse(state: Node, now: float) -> Node:
-    """Suspend what the node serves if its lease has expired.
+    """Suspend the node's holdings if its lease has expired.
 
-    Every event is preceded by this, so a node that was paused past its lease cannot serve an old
-    holding under a renewal that arrives after the pause.
+    This is done before every event, so that a node that was paused beyond its lease cannot serve an
+    old holding under a renewal that arrives after the pause.
 
     :param state: the node.
     :param now: the time in seconds.
@@ -160,7 +164,7 @@
 
 
 def is_suspended(held: HeldShard) -> bool:
-    """Return whether the coordinator has to confirm a holding before it is served again.
+    """Return whether the coordinator has to confirm a holding before the node serves it again.
 
     :param held: the holding.
     """
@@ -171,7 +175,7 @@
     """Return the state and the heartbeat to send.
 
     :param state: the node.
-    :param now: the time in seconds; the lease will count from it.
+    :param now: the time in seconds; a renewal extends the lease from this time.
     """
     pending = PendingHeartbeat(term=state.term, coordinator=state.coordinator, sent_at_s=now)
     return lapse(state, now), pending
@@ -184,7 +188,7 @@
 
     :param state: the node.
     :param pending: the heartbeat that the renewal answers.
-    :param renewal: the coordinator's answer.
+    :param renewal: the coordinator's reply.
     :param now: the time in seconds.
     """
     state = lapse(state, now)
@@ -204,7 +208,7 @@
 
 
 def adopt_config(state: Node, version: identity.ConfigVersion) -> Node:
-    """Note that the node has a configuration; a lower version changes nothing.
+    """Record the node's configuration version; a lower version is ignored.
 
     :param state: the node.
     :param version: the version now in force at the node.
@@ -213,13 +217,14 @@
 
 
 def accepts(state: Node, request: message.Revoke | message.Grant, shard: identity.ShardId) -> bool:
-    """Return whether an order for a shard is neither of another term nor overtaken.
+    """Return whether the node accepts a revoke or grant for a shard.
 
-    An order meant for the node's previous process is refused as well.
+    It refuses messages of another term, messages for its previous process, and messages that
+    arrive after a later one for the same shard or after a later Follow.
 
     :param state: the node.
-    :param request: the order.
-    :param shard: the shard concerned.
+    :param request: the message.
+    :param shard: the shard.
     """
     if request.term != state.term or request.incarnation != state.incarnation:
         return False
@@ -235,16 +240,16 @@
     sequence: int,
     now: float,
 ) -> Node:
-    """Follow a coordinator, unless the node has seen a higher term.
+    """Follow a coordinator, unless the node has followed a higher term.
 
-    In a new term, releases that the former coordinator asked for are dropped: the new coordinator
-    counts the shards as held and will ask again. The lease runs on.
+    In a new term, releases that the former coordinator requested are cancelled: the new coordinator
+    counts the shards as held and revokes them again if needed. The lease stays valid.
 
     :param state: the node.
     :param term: the coordinator's term.
     :param coordinator: the coordinator.
     :param address: its address for control messages.
-    :param sequence: number of the order; 0 if the node follows on its own.
+    :param sequence: sequence number of the Follow; 0 if the node follows without one.
     :param now: the time in seconds.
     """
     if term < state.term:
@@ -266,10 +271,10 @@
 def begin_release(
     state: Node, request: message.Revoke, now: float
 ) -> tuple[Node, list[identity.ShardId]]:
-    """Stop serving shards; return those that the order applies to and the node holds.
+    """Stop serving revoked shards, and return those that the node holds and accepts to release.
 
     :param state: the node.
-    :param request: the order.
+    :param request: the revoke.
     :param now: the time in seconds.
     """
     state = lapse(state, now)
@@ -302,26 +307,26 @@
 
 
 def grant(state: Node, request: message.Grant, now: float) -> tuple[Node, bool]:
-    """Take shards, and return whether the grant was accepted; it is taken whole or not at all.
+    """Add granted shards, and return whether the grant was accepted, as a whole or not at all.
 
-    A partition granted with fewer excluded keys takes back the shards of the other keys. A grant
-    that finds the lease expired is suspended until the coordinator confirms it.
+    A partition that is granted with fewer excluded keys replaces the shards of the other keys. If
+    the lease has expired, the shards are suspended until the coordinator confirms them.
 
     :param state: the node.
-    :param request: the order.
+    :param request: the grant.
     :param now: the time in seconds.
     """
     state = lapse(state, now)
     holdings = request.holdings
     if not all(_may_take(state, request, holding) for holding in holdings):
         return state, False
-    taken = HoldingState.SERVING if is_live(state, now) else HoldingState.SUSPENDED
+    holding_state = HoldingState.SERVING if is_live(state, now) else HoldingState.SUSPENDED
     changed = dict(state.holdings)
     for holding in holdings:
         for key in list_merged_keys(state, holding):
             changed.pop(identity.name_key(identity.split_shard(holding.shard)[0], key), None)
         changed[holding.shard] = HeldShard(
-            fence=holding.fence, excluded=frozenset(holding.excluded), state=taken
+            fence=holding.fence, excluded=frozenset(holding.excluded), state=holding_state
         )
     sequences = {
         **state.shard_sequences,
@@ -331,7 +336,7 @@
 
 
 def list_merged_keys(state: Node, holding: message.Holding) -> list[identity.KeyId]:
-    """Return the keys that a grant of a partition takes back into the partition.
+    """Return the keys that a grant of a partition merges back into it.
 
     :param state: the node before the grant.
     :param holding: the partition as granted.
@@ -341,9 +346,9 @@
 
 
 def reroute(state: Node, routes: list[message.Route]) -> Node:
-    """Apply routes; a route with a lower fencing token than the known one is out of date.
+    """Apply routes; a route with a lower fencing token than the known one is stale and ignored.
 
-    Fencing token 0 removes the route of a key that went back into its partition.
+    Fencing token 0 removes the route of a key that was merged back into its partition.
 
     :param state: the node.
     :param routes: the changed routes.
@@ -360,15 +365,15 @@
 
 
 def compute_lease_end(now: float) -> float:
-    """Return when a lease granted now has expired for certain, as the coordinator counts.
+    """Return the time on the coordinator's clock at which a lease renewed now has surely expired.
 
-    :param now: the time in seconds at which the coordinator answers.
+    :param now: the time in seconds at which the coordinator answers the heartbeat.
     """
     return now + LEASE_S * (1.0 + MAX_CLOCK_DRIFT)
 
 
 def compute_consent_end(sent_at_s: float) -> float:
-    """Return until when the coordinator may rely on a consent.
+    """Return until when the coordinator may rely on a consent, in seconds.
 
     :param sent_at_s: when it sent the request, in seconds.
     """
@@ -376,7 +381,7 @@
 
 
 def compute_promise_end(received_at_s: float) -> float:
-    """Return until when a standby must not claim the cell.
+    """Return until when a standby that has consented must not claim the cell, in seconds.
 
     :param received_at_s: when it received the request, in seconds.
     """
@@ -390,7 +395,7 @@
 ) -> bool:
     """Return whether every standby has consented, so that the coordinator may renew leases.
 
-    :param consents: by standby, until when its consent counts, in seconds.
+    :param consents: by standby, until when its consent is valid, in seconds.
     :param standbys: the standbys that may claim the cell.
     :param now: the time in seconds.
     """
--- a/src/ebonyvalve/process/limit.py
+++ b/src/ebonyvalve/process/limit.py
@@ -1,4 +1,4 @@
-"""Admission to the target beside this node: concurrency limit, slow start and bounded queue."""
+"""Admission to the node's local target: concurrency limit, slow start and a bounded queue."""
 
 import dataclasses
 import enum
@@ -6,41 +6,41 @@
 
 from ebonyvalve import errors
 
-# Names a request from admit to release.
+# Identifies a request from its admission to its release.
 Ticket = typing.NewType("Ticket", int)
 
-# The limit may exceed the announced slots, because slots are an estimate of the operator.
+# The limit may exceed the announced slots, because they are the operator's estimate.
 MAX_LIMIT_PER_SLOT = 1.5
 SHED_DECREASE = 0.7
 LATENCY_DECREASE = 0.85
 WARMING_DECREASE = 0.5
-# A target slows down somewhat with load; twice its usual latency means that requests queue in it.
+# A target gets slower with load. At twice its normal latency, requests are queuing inside it.
 OVERLOAD_FACTOR = 2.0
 SLOW_FACTOR = 3.0
-# With exponentially distributed service times 1 reply in 20 is slow, so that 8 slow replies in a
-# row occur by chance once in 10^10.
+# With exponentially distributed service times, 1 reply in 20 is slow, so 8 slow replies in a row
+# occur by chance once in 10^10.
 COLD_RUN = 8
-# Only this node sends work to the target, so that a warm target has no cause to shed while no more
-# requests run than its slots. One such reply may be an accident.
+# Only this node sends work to the target, so a warm target has no reason to shed while the running
+# requests don't exceed its slots. Several such replies are needed, as a single one may be a glitch.
 SHED_RUN = 3
 RECENT_WEIGHT = 0.1
-# In slow start the mean of about 50 replies is compared with the least such mean so far. With
-# exponentially distributed service times it strays by a tenth, whereas the mean of 10 replies
-# doubles by chance every few seconds and kept a sound target in slow start for good.
+# In slow start, the mean of about 50 replies is compared with the lowest such mean so far. With
+# exponentially distributed service times it varies by a tenth. The mean of 10 replies doubles by
+# chance every few seconds, which kept a healthy target in slow start forever.
 WARMING_WEIGHT = 0.02
 NORMAL_WEIGHT = 0.01
-# Slow replies count less towards the usual latency, or a cold turn would pass for usual.
+# Slow replies weigh less in the normal latency; otherwise a cold target would come to seem normal.
 SLOW_WEIGHT = 0.001
-# A planned move adds at most 100 ms; a request that must wait longer is better refused.
+# A planned move delays requests by at most 100 ms; a request that would wait longer is refused.
 MAX_WAIT_S = 0.1
 MAX_GAP_FACTOR = 10.0
-# A handover of 100 ms at 500 requests/s makes 50 requests wait for a target with 10 slots.
+# During a handover of 100 ms at 500 requests/s, 50 requests wait for a target with 10 slots.
 QUEUE_PER_SLOT = 10
 MIN_RETRY_AFTER_S = 0.05
 
 
 class Admission(enum.Enum):
-    """What a request does now."""
+    """Whether a request runs at once, waits or is refused."""
 
     RUN = "run"
     WAIT = "wait"
@@ -48,7 +48,7 @@
 
 
 class Cause(enum.Enum):
-    """Why a request is not run now."""
+    """Why a request does not run at once."""
 
     NONE = "none"
     LIMIT = "limit"
@@ -66,19 +66,19 @@
 
 
 class Reply(enum.Enum):
-    """How a request that ran ended, as far as it concerns the target."""
+    """How a request that ran ended, as evidence about the target."""
 
     OK = "ok"
     SHED = "shed"
     TIMED_OUT = "timed-out"
     FAILED = "failed"
-    # The caller left, or the request was not sent after all: this says nothing about the target.
+    # The caller disconnected, or the request was not sent: no evidence about the target.
     ABANDONED = "abandoned"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Decision:
-    """The decision on one request. ``retry_after_s`` is a hint for a refused caller."""
+    """Decision on one request. ``retry_after_s`` tells a refused caller when to try again."""
 
     admission: Admission
     cause: Cause = Cause.NONE
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Dequeued:
-    """Waiting requests that run now, and those that are refused because their deadline passed."""
+    """Requests that leave the queue: those that run now, and those whose deadline has passed."""
 
     run: list[Ticket]
     expired: list[Ticket]
@@ -96,13 +96,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """What the node knows of the target beside it. Times are seconds on the node's clock."""
+    """State of the node's local target. Times are in seconds on the node's clock."""
 
     slots: int
     warm_up_s: float
     phase: Phase = Phase.WARMING
     limit: float = 1.0
-    # Time during which the target worked since it became cold; an idle target does not warm up.
+    # Time for which the target has been busy since it became cold; an idle target doesn't warm up.
     busy_s: float = 0.0
     running: dict[Ticket, float] = dataclasses.field(default_factory=dict)
     # Waiting requests in order of arrival, with their deadlines.
@@ -125,25 +125,25 @@
 
 
 def create(*, slots: int, warm_up_s: float) -> Target:
-    """Return the state of a new or returned target, in slow start.
+    """Return the state of a new or restarted target, which is in slow start.
 
     :param slots: requests that the warm target handles at once, as announced.
     :param warm_up_s: seconds of work after which the target is warm.
     """
     if slots < 1:
-        raise errors.InvariantError(f"a target with {slots} slots")
+        raise errors.InvariantError(f"a target needs at least 1 slot, not {slots}")
     return Target(slots=slots, warm_up_s=warm_up_s)
 
 
 def admit(target: Target, *, now: float, deadline: float) -> Decision:
     """Decide whether a request runs, waits or is refused, before its body is read.
 
-    A request that runs is ended with :func:`release`, one that waits with :func:`withdraw` or by
-    appearing in a :class:`Wake`.
+    A request that runs must be ended with :func:`release`. A waiting request leaves the queue when
+    it appears in a :class:`Dequeued`, or with :func:`withdraw`.
 
     :param target: the target's state.
     :param now: seconds on the node's clock.
-    :param deadline: seconds on the node's clock.
+    :param deadline: of the request, in seconds on the node's clock.
     """
     if deadline <= now:
         return Decision(admission=Admission.REFUSE, cause=Cause.DEADLINE)
@@ -176,14 +176,14 @@
 def release(
     target: Target, ticket: Ticket, *, now: float, latency_s: float, reply: Reply
 ) -> Dequeued:
-    """Learn from the end of a request and return the waiting requests that run now.
+    """End a running request, adapt the limit and return the requests that leave the queue.
 
     :param target: the target's state.
     :param ticket: of the request that ran.
     :param now: seconds on the node's clock.
-    :param latency_s: seconds from sending the request to the head of the reply; later times depend
-        on how fast the caller reads.
-    :param reply: how it ended.
+    :param latency_s: seconds from sending the request to the head of the reply; the time until its
+        end would depend on how fast the caller reads.
+    :param reply: how the request ended.
     """
     started_at = target.running.pop(ticket, None)
     if started_at is None:
@@ -203,16 +203,16 @@
 
 
 def withdraw(target: Target, ticket: Ticket) -> None:
-    """Remove a waiting request whose caller has gone.
+    """Remove a waiting request whose caller has disconnected.
 
     :param target: the target's state.
-    :param ticket: of the request; one that no longer waits is left alone.
+    :param ticket: of the request; one that no longer waits is ignored.
     """
     target.waiting.pop(ticket, None)
 
 
 def dequeue(target: Target, now: float) -> Dequeued:
-    """Return the waiting requests that run now, and those whose deadline has passed.
+    """Remove the requests that run now, and those whose deadline has passed, from the queue.
 
     :param target: the target's state.
     :param now: seconds on the node's clock.
@@ -230,7 +230,7 @@
 
 
 def pause(target: Target) -> None:
-    """Let requests wait instead of running, until :func:`resume`.
+    """Queue requests instead of running them until :func:`resume` is called.
 
     :param target: the target's state.
     """
@@ -238,7 +238,7 @@
 
 
 def resume(target: Target, now: float) -> Dequeued:
-    """End a pause and return the waiting requests that run now.
+    """End a pause and return the requests that leave the queue.
 
     :param target: the target's state.
     :param now: seconds on the node's clock.
@@ -248,7 +248,7 @@
 
 
 def enter_slow_start(target: Target) -> None:
-    """Put the target into slow start: it is new, has returned, or its incarnation has changed.
+    """Put the target into slow start, because it is new, has recovered or was restarted.
 
     :param target: the target's state.
     """
@@ -264,12 +264,12 @@
 
 
 def record_report(target: Target, *, is_cold: bool) -> None:
-    """Note what the target says of its own coldness.
+    """Record whether the target reports itself cold, and put it into slow start if it newly does.
 
-    Only a change counts. Reports lag, and a repeated one would restart the slow start for ever.
+    Only a change has an effect: reports lag, and repeated ones would restart slow start forever.
 
     :param target: the target's state.
-    :param is_cold: the target's report.
+    :param is_cold: whether the target reports itself cold.
     """
     if is_cold and not target.is_reported_cold and target.phase is Phase.STEADY:
         enter_slow_start(target)
@@ -285,19 +285,19 @@
 
 
 def predict_wait(target: Target) -> float:
-    """Return the expected wait in seconds of a request that joins the queue now.
+    """Return the expected wait in seconds of a request that enters the queue now.
 
     :param target: the target's state.
     """
     if target.recent_latency_s is None:
         return 0.0
-    # Requests beyond a fallen limit must end before the queue moves.
+    # After a decrease of the limit, the excess requests must end before the queue moves.
     ahead = len(target.waiting) + 1 + max(0, len(target.running) - read_limit(target))
     return ahead * target.recent_latency_s / read_limit(target)
 
 
 def compute_retry_after(target: Target) -> float:
-    """Return after how many seconds a refused caller may try again.
+    """Return the time in seconds after which a refused caller may try again.
 
     :param target: the target's state.
     """
@@ -343,16 +343,16 @@
     target.slow_run = 0
     target.shed_run = 0
     target.normal_latency_s += NORMAL_WEIGHT * (latency_s - target.normal_latency_s)
-    # An idle hour must not make the usual load look like an increase for the next 100 replies.
+    # Without a cap, an idle hour would make the next 100 replies look like a rising load.
     gap_s = min(gap_s, MAX_GAP_FACTOR * target.normal_gap_s)
     target.normal_gap_s += NORMAL_WEIGHT * (gap_s - target.normal_gap_s)
 
 
 def _detect_cold(target: Target, now: float) -> bool:
-    """Return whether the target has just turned out to be cold.
+    """Return whether the target is newly detected as cold, after putting it into slow start.
 
-    Replies that are overdue count as slow ones, since a cold target answers late. Under more load
-    replies come faster one after the other; then the target is overloaded rather than cold.
+    Overdue replies count as slow, since a cold target answers late. If replies arrive at shorter
+    intervals than normal, the load has risen, and the target is overloaded rather than cold.
     """
     if (
         target.phase is Phase.WARMING
@@ -376,7 +376,7 @@
 
 
 def _decrease_limit(target: Target, now: float, factor: float) -> None:
-    # Requests that were admitted before a fall say nothing about the fallen limit.
+    # Requests that were admitted before a decrease are no evidence about the lower limit.
     if now - target.last_decrease_at < (target.recent_latency_s or 0.0):
         return
     target.last_decrease_at = now
@@ -411,6 +411,6 @@
     ):
         _decrease_limit(target, now, LATENCY_DECREASE)
         return
-    # An unused limit must not grow: nothing shows that the target can bear it.
+    # The limit grows only while it is used; otherwise nothing shows that the target can handle it.
     if len(target.running) + 1 >= read_limit(target):
         target.limit = min(target.limit + 1.0 / target.limit, _find_max_limit(target))
--- a/src/ebonyvalve/process/member.py
+++ b/src/ebonyvalve/process/member.py
@@ -1,4 +1,4 @@
-"""Nodes with their targets, as they announce themselves in the table."""
+"""Announcements of nodes and their targets in the table."""
 
 import enum
 
@@ -12,14 +12,14 @@
     """Whether a target takes new work."""
 
     READY = "ready"
-    # Sends no reports, so that it can hold no keys.
+    # Sends no reports and therefore can't own keys.
     SILENT = "silent"
     LEAVING = "leaving"
     GONE = "gone"
 
 
 class Member(msgspec.Struct, kw_only=True, frozen=True):
-    """A node and the target beside it. ``address`` is where the node takes work for its target."""
+    """A node and its local target. ``address`` accepts requests for the target."""
 
     node: identity.NodeId
     address: identity.Address
@@ -31,7 +31,7 @@
 
 
 def encode(member: Member) -> bytes:
-    """Return a member as the bytes of its row.
+    """Encode a member as the value of its row.
 
     :param member: the member.
     """
@@ -39,15 +39,15 @@
 
 
 def decode(value: bytes) -> result.Result[Member, str]:
-    """Return the member of a row, or what is wrong with it.
+    """Decode a member from the value of its row, or return what is wrong with it.
 
-    :param value: the row's bytes.
+    :param value: the row's value.
     """
     return decoding.decode(value, Member, find_fault)
 
 
 def find_fault(member: Member) -> str:
-    """Return what is wrong with a member's texts, or an empty text.
+    """Return what is wrong with a member's address or names, or an empty string.
 
     :param member: the member.
     """
@@ -56,5 +56,5 @@
     for name in ("node", "zone", "service", "lifetime"):
         text = getattr(member, name)
         if not decoding.is_name(text):
-            return f"{name} {text!r} is no name"
+            return f"{name} {text!r} is not a valid name"
     return ""
--- a/src/ebonyvalve/process/message.py
+++ b/src/ebonyvalve/process/message.py
@@ -1,4 +1,4 @@
-"""Control messages between nodes: requests and replies on one stream per pair of nodes."""
+"""Control messages between nodes, sent as requests and replies on one stream per pair of nodes."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Member(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """A node and the target beside it, as announced."""
+    """A node and its local target, as announced."""
 
     node: identity.NodeId
     incarnation: identity.Incarnation
@@ -21,7 +21,7 @@
 
 
 class Route(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """The owner of a shard. An empty owner means that nobody owns it at present."""
+    """The owner of a shard. An empty owner means that no node owns it at present."""
 
     shard: identity.ShardId
     owner: identity.NodeId
@@ -33,12 +33,12 @@
 
     shard: identity.ShardId
     fence: identity.Fence
-    # Keys of a partition that are shards of their own and not served under it.
+    # Keys of a partition that are shards of their own and are not served as part of it.
     excluded: list[identity.KeyId] = []
 
 
 class UsedToken(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """A used one-time token and what became of its request."""
+    """A used one-time token and the outcome of its request."""
 
     token: str
     verdict: str
@@ -47,13 +47,13 @@
 
 
 class Coverage(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """How far a token memory covers one epoch.
+    """Which tokens of one epoch a token memory covers.
 
-    ``clock_s`` is the clock of the node that issued the epoch's tokens, read at the export; clocks
-    of different nodes share no origin. Tokens issued at or before ``horizon_s`` on that clock may
-    have been forgotten; none was issued after ``closed_s``. A non-empty ``key`` restricts the
-    coverage to one key. ``split_keys`` lists keys that were split off, with the time of the split:
-    their tokens issued until then are not covered.
+    ``clock_s`` is the time of the export on the clock of the node that issued the epoch's tokens,
+    because clocks of different nodes have different origins. Tokens issued at or before
+    ``horizon_s`` on that clock may have been forgotten; none was issued after ``closed_s``. A
+    non-empty ``key`` restricts the coverage to one key. ``split_keys`` lists keys that were split
+    off with the time of the split; their tokens issued until then are not covered.
     """
 
     clock_s: float
@@ -64,7 +64,7 @@
 
 
 class TokenMemory(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """The token memory of one shard, as it travels with a handover.
+    """The token memory of one shard, as transferred in a handover.
 
     ``epochs`` are the (shard, fencing token) pairs whose tokens the memory covers, and ``coverage``
     has one entry for each of them.
@@ -77,14 +77,14 @@
 
 
 class Quarantined(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """The fingerprint of a request during which a target died."""
+    """The fingerprint of a request that was in flight when a target crashed."""
 
     fingerprint: identity.Fingerprint
     remaining_s: float
 
 
 class ShardLoad(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """Load of one shard: target seconds used per second."""
+    """Load of one shard, in target seconds per second."""
 
     shard: identity.ShardId
     load: float
@@ -93,8 +93,8 @@
 class Heartbeat(msgspec.Struct, kw_only=True, array_like=True, tag=1):
     """A node's request for a lease renewal.
 
-    ``is_live`` says whether the node's lease is valid as it counts. A node that keeps reporting
-    that it is not, although it is renewed, does not receive the renewals.
+    ``is_live`` tells whether the node considers its lease valid. If it reports an invalid lease
+    again and again although it is renewed, it does not receive the renewals.
     """
 
     member: Member
@@ -103,7 +103,7 @@
     members_version: int
     config_version: identity.ConfigVersion
     is_live: bool = False
-    # Whether the node holds shards that it serves again only once they are confirmed.
+    # Whether the node holds shards that it serves again only after they are confirmed.
     is_suspended: bool = False
     loads: list[ShardLoad] = []
     hot_keys: list[tuple[identity.ServiceId, identity.KeyId, float]] = []
@@ -111,7 +111,7 @@
 
 
 class Renewal(msgspec.Struct, kw_only=True, array_like=True, tag=2):
-    """A lease renewal with what changed since the versions that the heartbeat named."""
+    """A lease renewal with the changes since the versions named in the heartbeat."""
 
     term: identity.Term
     lease_s: float
@@ -122,12 +122,12 @@
     members_version: int
     members: list[Member]
     quarantine: list[Quarantined]
-    # Digest of what the node may serve. Suspended holdings with this digest are served again.
+    # Digest of the shards that the node may serve; suspended holdings that match are served again.
     holdings_digest: int | None = None
 
 
 class AskConsent(msgspec.Struct, kw_only=True, array_like=True, tag=3):
-    """A coordinator's request that a standby does not claim the cell for a while."""
+    """A coordinator's request that a standby doesn't claim the cell for the consent period."""
 
     term: identity.Term
     coordinator: identity.NodeId
@@ -135,17 +135,18 @@
 
 
 class Consent(msgspec.Struct, kw_only=True, array_like=True, tag=4):
-    """The standby will not claim the cell within the consent period."""
+    """A standby's promise not to claim the cell within the consent period."""
 
     term: identity.Term
 
 
 class Follow(msgspec.Struct, kw_only=True, array_like=True, tag=5):
-    """A new coordinator's request to follow its term, and to list what the node holds.
+    """A new coordinator's request to follow its term and to report the held shards.
 
-    ``order`` numbers the orders of a coordinator within its term, here and in ``Revoke`` and
-    ``Grant``; a node refuses an order that a later one overtook. ``to`` is the incarnation that an
-    order is meant for: a restarted node has lost what its predecessor held.
+    ``sequence`` numbers a coordinator's ``Follow``, ``Revoke`` and ``Grant`` messages within its
+    term; a node refuses one that arrives after a later one. ``incarnation`` in ``Revoke`` and
+    ``Grant`` names the process that the message is meant for, because a restarted node has lost the
+    shards of its previous process.
     """
 
     term: identity.Term
@@ -155,7 +156,7 @@
 
 
 class Following(msgspec.Struct, kw_only=True, array_like=True, tag=6):
-    """A node follows the term; it lists what it holds."""
+    """A node's confirmation that it follows the term, with the shards that it holds."""
 
     member: Member
     term: identity.Term
@@ -164,7 +165,7 @@
 
 
 class Revoke(msgspec.Struct, kw_only=True, array_like=True, tag=7):
-    """The coordinator asks an owner to release shards."""
+    """A coordinator's request that a node releases shards."""
 
     term: identity.Term
     shards: list[identity.ShardId]
@@ -173,7 +174,7 @@
 
 
 class Released(msgspec.Struct, kw_only=True, array_like=True, tag=8):
-    """The owner serves these shards no more; its token memory goes with them."""
+    """A node's confirmation that it no longer serves shards, with their token memories."""
 
     term: identity.Term
     holdings: list[Holding]
@@ -181,7 +182,7 @@
 
 
 class Grant(msgspec.Struct, kw_only=True, array_like=True, tag=9):
-    """A committed assignment, given to its new owner."""
+    """A coordinator's grant of shards to the owner that was committed for them."""
 
     term: identity.Term
     holdings: list[Holding]
@@ -191,20 +192,20 @@
 
 
 class Granted(msgspec.Struct, kw_only=True, array_like=True, tag=10):
-    """The new owner serves the shards."""
+    """A node's confirmation that it has accepted a grant."""
 
     term: identity.Term
 
 
 class Rerouted(msgspec.Struct, kw_only=True, array_like=True, tag=11):
-    """The coordinator tells a former owner where its shards went, ahead of the next renewal."""
+    """New routes of shards, sent to their former owner ahead of its next renewal."""
 
     term: identity.Term
     routes: list[Route]
 
 
 class Done(msgspec.Struct, kw_only=True, array_like=True, tag=12):
-    """An acknowledgement with no content."""
+    """An acknowledgement without content."""
 
 
 class FetchConfig(msgspec.Struct, kw_only=True, array_like=True, tag=13):
@@ -221,14 +222,14 @@
 
 
 class Leave(msgspec.Struct, kw_only=True, array_like=True, tag=15):
-    """A node that stops asks the coordinator to move its shards first."""
+    """A stopping node's request that the coordinator moves its shards to other nodes."""
 
     node: identity.NodeId
     incarnation: identity.Incarnation
 
 
 class Refused(msgspec.Struct, kw_only=True, array_like=True, tag=16):
-    """The request was not carried out."""
+    """A reply that the request was refused, with the reason."""
 
     term: identity.Term
     reason: str
--- a/src/ebonyvalve/process/ownership.py
+++ b/src/ebonyvalve/process/ownership.py
@@ -1,4 +1,8 @@
-"""Drives the rules of leases and of the cell with the peers, the table and the timer."""
+"""Shard ownership of a node: lease renewal, claims of the cell, and the coordinator's tasks.
+
+The decisions are pure functions in ``lease`` and ``cell``; this module calls them with messages of
+peers, rows of the table and the time, and sends what they return.
+"""
 
 import collections.abc
 import dataclasses
@@ -28,28 +32,28 @@
 HEAD_POLL_INTERVAL_S = 0.5
 PLAN_INTERVAL_S = 1.0
 ASK_TIMEOUT_S = 0.1
-# A release waits for the requests in flight, whose deadlines are below this.
+# A release waits for the requests in flight; their deadlines are shorter than this.
 RELEASE_TIMEOUT_S = 2.0
 FETCH_TIMEOUT_S = 2.0
 STORE_TIMEOUT_S = 5.0
-# While the store takes longer than this, no planned move is begun, because the shard would have no
-# owner until the commit is answered.
+# No planned move starts while reads of the store take longer than this, because the shard would
+# have no owner until the store has answered the commit.
 SLOW_STORE_S = 0.1
-# A commit that takes longer than this is no longer waited for by the shards of planned moves.
+# After this time without a reply to a commit, the shards of planned moves return to their owners.
 LATE_COMMIT_S = 0.25
-# Without a coordinator for so long, a node that is no standby looks whether it may claim the cell.
+# A node that is not a standby tries to claim the cell after this time without a coordinator.
 CLAIM_DELAY_S = 1.5
-# After stepping down a coordinator leaves the cell to its standbys for so long.
+# A coordinator that has stepped down leaves the cell to its standbys for this time.
 RECLAIM_DELAY_S = 1.0
 RETRY_INTERVAL_S = 0.1
-# A cell that has never assigned a shard waits this long for its nodes, or the first of them would
-# get every shard.
+# A new cell waits this long for its nodes to join before it assigns shards; otherwise the first
+# node would get every shard.
 DISCOVERY_S = 1.0
 # Longest pause between reads of the cell row while the store does not answer. A store that has just
-# come back bears 2000 reads/s; 780 nodes that read 10 times a second would make 7800.
+# recovered handles 2000 reads/s; 780 nodes reading 10 times a second would send 7800.
 MAX_SEARCH_INTERVAL_S = 1.0
 FIRST_RETRY_INTERVAL_S = 0.005
-# Loads of some forty shards are larger than the rest of a heartbeat.
+# Loads are not sent with every heartbeat: those of 40 shards are larger than the rest of it.
 LOAD_REPORT_INTERVAL_S = 1.0
 NO_OTHER_MEMBER = "no other member"
 LEAVE_TIMEOUT_S = 5.0
@@ -57,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServiceTraits:
-    """What ownership needs to know of a service."""
+    """Properties of a service on which ownership depends."""
 
     checks_fence: bool
     deadline_s: float
@@ -65,13 +69,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ports:
-    """What ownership uses. ``release`` may be cancelled and then leaves the memories in place.
-
-    ``release`` returns the token memories once no request of the shards is in flight, and drops
-    them. ``install`` puts memories in place. ``inherit`` adds the used tokens and epochs of a
-    holding, with its own epoch, to the memory of another one at this node. ``forget`` drops the
-    memories of shards. ``abandon`` cancels running requests and keeps the memories. ``notify`` is
-    called whenever the node's view of ownership or members has changed.
+    """Functions of the rest of the node that ownership calls.
+
+    ``release`` returns the token memories of shards once none of their requests is in flight, and
+    drops them; if it is cancelled, the memories stay. ``install`` stores memories that came with a
+    grant. ``inherit`` adds the used tokens and epochs of a holding, with its own epoch, to the
+    memory of another holding at this node. ``forget`` drops the memories of shards.
+    ``cancel_requests`` cancels running requests and keeps the memories. ``notify`` is called
+    whenever the node's view of ownership or members has changed.
     """
 
     ask: peer.Ask
@@ -105,7 +110,7 @@
 
 
 class Head(msgspec.Struct, kw_only=True, frozen=True):
-    """The row ``config/head``, as far as ownership reads it."""
+    """The fields of the row ``config/head`` that ownership reads."""
 
     version: identity.ConfigVersion
     digest: str
@@ -113,7 +118,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class PendingRelease:
-    """A release that waits for the requests in flight."""
+    """The release of a shard that waits for its requests in flight."""
 
     scope: trio.CancelScope
     done: trio.Event
@@ -121,13 +126,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Leadership:
-    """State of the coordinator's role, from claim to stepping down."""
+    """State of the coordinator's tasks, from the claim until it steps down."""
 
     rules: cell.Coordinator
     scope: trio.CancelScope
     nursery: trio.Nursery
     is_loaded: bool = False
-    # The node stops and hands its role over; it renews no lease.
+    # The node is stopping and hands its role over; it renews no more leases.
     is_closing: bool = False
     last_sequence: int = 0
     memories: dict[identity.ShardId, message.TokenMemory] = dataclasses.field(default_factory=dict)
@@ -136,7 +141,7 @@
     granting: set[identity.NodeId] = dataclasses.field(default_factory=set)
     wanted_standbys: list[cell.NodeInstance] = dataclasses.field(default_factory=list)
     quarantine: dict[identity.Fingerprint, float] = dataclasses.field(default_factory=dict)
-    # What operators see: by node the configuration it has, by shard when and why it changed owner.
+    # Shown to operators: the configuration of each node, and when and why each shard moved last.
     config_versions: dict[identity.NodeId, identity.ConfigVersion] = dataclasses.field(
         default_factory=dict
     )
@@ -148,18 +153,18 @@
     plan_due: trio.Event = dataclasses.field(default_factory=trio.Event)
     commit_due: trio.Event = dataclasses.field(default_factory=trio.Event)
     poll_due: trio.Event = dataclasses.field(default_factory=trio.Event)
-    # Replaced on every change, for those who wait for a condition.
+    # Set and replaced on every change, for tasks that wait for a condition.
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
 
 
 @dataclasses.dataclass(kw_only=True)
 class State:
-    """Ownership at one node, for the life of the process."""
+    """Ownership state of one node, which lives as long as the process."""
 
     cell_id: identity.CellId
     ports: Ports
     node: lease.Node
-    # When the last renewal was applied, or the node started.
+    # When the last renewal was applied, or when the node started if there was none.
     renewed_at_s: float
     standby: cell.Standby = dataclasses.field(default_factory=cell.Standby)
     leadership: Leadership | None = None
@@ -169,13 +174,13 @@
     stepped_down_at_s: float = -math.inf
     loads_sent_at_s: float = -math.inf
     releasing: dict[identity.ShardId, PendingRelease] = dataclasses.field(default_factory=dict)
-    # Answers to Revoke, kept in case the reply was lost: a shard that was held must not look as
-    # if it had never been, or its token memory would be replaced by an empty one.
+    # Answers to Revoke, kept in case a reply was lost. A repeated Revoke must not be answered as if
+    # the shard had never been held, or an empty token memory would replace the shard's.
     released: dict[identity.ShardId, tuple[message.Holding, list[message.TokenMemory]]] = (
         dataclasses.field(default_factory=dict)
     )
-    # The heartbeat under way. It is given up when the node follows another coordinator, so that the
-    # first heartbeat to that one does not wait for the reply of a lost one.
+    # The heartbeat that awaits a reply. It is cancelled when the node follows another coordinator,
+    # so that the first heartbeat to the new one doesn't wait for a coordinator that was lost.
     heartbeat_scope: trio.CancelScope = dataclasses.field(default_factory=trio.CancelScope)
     heartbeat_due: trio.Event = dataclasses.field(default_factory=trio.Event)
     search_due: trio.Event = dataclasses.field(default_factory=trio.Event)
@@ -187,7 +192,7 @@
     """Return the state of a node that has just started.
 
     :param cell_id: the cell that the node belongs to.
-    :param ports: what ownership uses.
+    :param ports: functions of the rest of the node.
     """
     member = ports.describe_member()
     node = lease.Node(node=member.node, incarnation=member.incarnation)
@@ -196,7 +201,7 @@
 
 
 async def run(state: State) -> None:
-    """Run heartbeats, and the coordinator's or a standby's role, until cancelled.
+    """Run the node's heartbeats, and the tasks of a standby or coordinator, until cancelled.
 
     :param state: from :func:`open_state`.
     """
@@ -212,7 +217,7 @@
 async def leave(state: State) -> bool:
     """Move the node's shards and its role to others, and return whether that succeeded in time.
 
-    :param state: the node; its loops must be running.
+    :param state: the node; :func:`run` must be running.
     """
     state.is_leaving = True
     state.heartbeat_due.set()
@@ -234,7 +239,7 @@
 
 
 async def handle(state: State, request: message.Message) -> message.Message:
-    """Answer a control message.
+    """Handle a control message of a peer and return the reply.
 
     :param state: the node.
     :param request: the message.
@@ -274,7 +279,7 @@
 
 
 async def _wait_event(state: State, event: trio.Event, until_s: float) -> None:
-    """Wait until an event or a time, whichever is first."""
+    """Wait for an event or until a time, whichever comes first."""
     async with trio.open_nursery() as nursery:
 
         async def wait() -> None:
@@ -313,7 +318,7 @@
 
 
 def _put_node(state: State, node: lease.Node) -> None:
-    """Replace the node's state and cancel the requests of shards that it no longer serves."""
+    """Replace the node's state, and cancel the requests of shards that this suspends."""
     before = state.node
     state.node = node
     lapsed = [
@@ -357,14 +362,14 @@
         state.heartbeat_due = trio.Event()
         is_refused = await _send_heartbeat(state)
         refusals = refusals + 1 if is_refused else 0
-        # A new coordinator refuses until its standbys have consented, which takes a few
-        # milliseconds; the next regular heartbeat would come after the lease has lapsed.
+        # A new coordinator refuses heartbeats until its standbys have consented, which takes a few
+        # milliseconds. Waiting for the next regular heartbeat would let the lease lapse.
         period = FIRST_RETRY_INTERVAL_S * 2**refusals if is_refused else lease.HEARTBEAT_S
         await _wait_event(state, state.heartbeat_due, started + min(period, lease.HEARTBEAT_S))
 
 
 async def _send_heartbeat(state: State) -> bool:
-    """Send a heartbeat, and return whether it was refused."""
+    """Send one heartbeat, apply its reply, and return whether it was refused."""
     node, pending = lease.begin_heartbeat(state.node, _now(state))
     _put_node(state, node)
     if node.coordinator == lease.NOBODY:
@@ -476,7 +481,7 @@
     if request.coordinator == member.node and (
         state.leadership is None or state.leadership.rules.row.term != request.term
     ):
-        # The coordinator that stops has named this node its successor in the cell row.
+        # A coordinator that is stopping has named this node as its successor in the cell row.
         state.search_due.set()
         return message.Done()
     _follow(
@@ -530,7 +535,7 @@
     node, held = lease.begin_release(state.node, request, _now(state))
     _put_node(state, node)
     for shard in held:
-        # Each shard alone, so that a long request of one does not hold up the others' memories.
+        # Shards are released one by one, so that a long request of one doesn't delay the others.
         if shard in state.releasing:
             await state.releasing[shard].done.wait()
         else:
@@ -553,7 +558,7 @@
             memories = await state.ports.release([shard])
             held = state.node.holdings[shard]
             if held.state is not lease.HoldingState.RELEASING:
-                # A grant or a new coordinator came while the last request ended.
+                # A grant or a new coordinator has ended the release; the shard keeps its memories.
                 state.ports.install(memories)
                 return
             holding = message.Holding(shard=shard, fence=held.fence)
@@ -582,10 +587,10 @@
 def _update_memory(
     state: State, before: lease.Node, holding: message.Holding, memory: message.TokenMemory | None
 ) -> None:
-    """Put the token memory of a granted shard in place.
+    """Set up the token memory of a granted shard.
 
-    A shard that stays at this node keeps its memory; a key that is split off inherits the one of
-    its partition, and the partition inherits the one of a key that goes back.
+    A shard that stays at this node keeps its memory. A key that is split off takes its part of its
+    partition's memory, and a partition takes over the memory of a key that is merged back.
     """
     ports = state.ports
     held = before.holdings.get(holding.shard)
@@ -643,10 +648,10 @@
 
 
 async def _claim_when_promise_ends(state: State) -> None:
-    """Claim the cell when the coordinator stops asking for consent."""
+    """Claim the cell as a standby when the coordinator stops asking for consent."""
     while True:
         promised = state.standby.promised_until_s
-        # One request was missed: read the row, so that a claim costs one round trip only.
+        # One request for consent is overdue. Reading the row ahead saves the claim a round trip.
         early = promised - lease.CONSENT_PERIOD_S
         if _now(state) < early:
             await timer.wait_until(state.ports.timer, early)
@@ -663,7 +668,7 @@
 
 
 async def _read_cell(state: State) -> tuple[cell.CellRow | None, int, float]:
-    """Return the cell row, its version (-1 if the store did not answer) and the time of asking."""
+    """Return the cell row, its version (-1 if the store did not answer) and the time of reading."""
     read_at = _now(state)
     found = platform.Row()
     is_read = False
@@ -679,7 +684,7 @@
 
 
 async def _search(state: State) -> None:
-    """Find the coordinator in the cell row when heartbeats fail."""
+    """Look up the coordinator in the cell row whenever heartbeats fail."""
     pause_s = RETRY_INTERVAL_S
     while True:
         await state.search_due.wait()
@@ -753,7 +758,10 @@
 
 
 async def _write_cell(state: State, row: cell.CellRow, version: int) -> tuple[bool, int]:
-    """Write the cell row until the outcome is known; return whether it is in force."""
+    """Write the cell row until the outcome is known.
+
+    Return whether the row is in force, and its version.
+    """
     name = cell.name_cell_row(state.cell_id)
     value = cell.encode_row(row)
     while True:
@@ -767,7 +775,7 @@
             return True, found_version
         if found_version >= 0 and found_version != version:
             return False, found_version
-        # Not applied yet, but it may still be. Writing the same again settles it.
+        # The write has not been applied yet but still may be. Repeating it resolves this.
         await _sleep(state, RETRY_INTERVAL_S)
 
 
@@ -958,7 +966,7 @@
 
 
 def _drop_stale_memories(leadership: Leadership) -> None:
-    """Drop memories of shards that somebody has held since and used tokens that they lack."""
+    """Drop memories of shards that may have been served since; they lack the tokens used then."""
     assigned = leadership.rules.assignments
     leadership.memories = {
         shard: memory
@@ -996,7 +1004,7 @@
         sent_at = _now(state)
         reply = (await _ask(state, standby.address, request, ASK_TIMEOUT_S)).value_or(None)
         retry_s *= 2
-        # A standby that lost the race for the claim refuses until it has read the row back.
+        # A standby whose own claim conflicted refuses consent until it has read the row back.
         is_refused = isinstance(reply, message.Refused) and reply.term <= request.term
         if not is_refused or _now(state) + retry_s >= until:
             break
@@ -1033,7 +1041,7 @@
         leadership.rules = cell.record_cell_row(leadership.rules, row, version)
         names = ",".join(standby.node for standby in row.standbys)
         decision.record(log, logging.WARNING, "standbys", term=row.term, standbys=names)
-    # Nodes that waited for consent need not wait for their next heartbeat here.
+    # The coordinator's own node renews at once instead of at its next heartbeat.
     state.heartbeat_due.set()
     _notify_changed(leadership)
 
@@ -1061,7 +1069,7 @@
 
 
 async def _assign_shards(state: State, leadership: Leadership) -> None:
-    """Plan, revoke and grant whenever something has changed."""
+    """Plan moves, and send revokes and grants, whenever something has changed."""
     while True:
         leadership.plan_due = trio.Event()
         _expire_leases(state, leadership)
@@ -1082,14 +1090,14 @@
 
 def _find_next_check(state: State, leadership: Leadership) -> float:
     now = _now(state)
-    times = [known.end_s for known in leadership.rules.leases.values()]
+    times = [node_lease.end_s for node_lease in leadership.rules.leases.values()]
     times += [entry.free_at_s for entry in leadership.rules.assignments.values()]
     times += [leadership.rules.unknown_until_s, now + PLAN_INTERVAL_S]
     return min(at for at in times if at > now)
 
 
 def _summarise_plan_inputs(leadership: Leadership, now: float) -> tuple[int, int, int]:
-    """Return what calls for a new plan at once when it changes."""
+    """Return a summary whose change requires a new plan at once."""
     rules = leadership.rules
     orphans = sum(
         not entry.holders and entry.target is None and now >= entry.free_at_s
@@ -1127,16 +1135,16 @@
 async def _revoke(
     state: State, leadership: Leadership, node: identity.NodeId, shard: identity.ShardId
 ) -> None:
-    known = leadership.rules.leases.get(node)
+    node_lease = leadership.rules.leases.get(node)
     reply: message.Message | None = None
-    if known is not None:
+    if node_lease is not None:
         request = message.Revoke(
             term=leadership.rules.row.term,
             shards=[shard],
-            incarnation=known.member.incarnation,
+            incarnation=node_lease.member.incarnation,
             sequence=_next_sequence(leadership),
         )
-        address = known.member.peer_address
+        address = node_lease.member.peer_address
         reply = (await _ask(state, address, request, RELEASE_TIMEOUT_S)).value_or(None)
     if isinstance(reply, message.Released):
         memories = {memory.shard: memory for memory in reply.memories}
@@ -1156,9 +1164,9 @@
 async def _grant(
     state: State, leadership: Leadership, node: identity.NodeId, holdings: list[message.Holding]
 ) -> None:
-    known = leadership.rules.leases.get(node)
+    node_lease = leadership.rules.leases.get(node)
     reply: message.Message | None = None
-    if known is not None:
+    if node_lease is not None:
         request = message.Grant(
             term=leadership.rules.row.term,
             holdings=holdings,
@@ -1167,12 +1175,12 @@
                 for holding in holdings
                 if holding.shard in leadership.memories
             ],
-            incarnation=known.member.incarnation,
+            incarnation=node_lease.member.incarnation,
             sequence=_next_sequence(leadership),
         )
-        reply = (await _ask(state, known.member.peer_address, request, ASK_TIMEOUT_S)).value_or(
-            None
-        )
+        reply = (
+            await _ask(state, node_lease.member.peer_address, request, ASK_TIMEOUT_S)
+        ).value_or(None)
     if isinstance(reply, message.Granted):
         leadership.rules = cell.record_grant_accepted(leadership.rules, node, holdings)
         for holding in holdings:
@@ -1213,9 +1221,10 @@
 
 
 async def _cancel_late_moves(state: State, leadership: Leadership) -> None:
-    """Give shards back to their owners while a commit is late; it may still take effect.
+    """Cancel planned moves, so that their shards return to their owners, if a commit is late.
 
-    This includes shards that are being released for the next commit.
+    The commit may still take effect. Shards that are being released for the next commit are
+    included.
     """
     await _sleep(state, LATE_COMMIT_S)
     planned = [
@@ -1232,7 +1241,7 @@
 
 
 async def _read_back(state: State, leadership: Leadership, transaction: cell.Transaction) -> bool:
-    """Read the rows of a write whose outcome is not known, and return whether it took effect."""
+    """Read the rows of a write whose outcome is unknown, and return whether it was applied."""
     while True:
         rows: dict[str, platform.Row] = {}
         for name in transaction.expected:
@@ -1289,7 +1298,7 @@
 
 
 def _send_routes(state: State, leadership: Leadership, changes: list[cell.Change]) -> None:
-    """Tell former owners where their shards went, so that they can pass requests on at once."""
+    """Send former owners the routes of their moved shards, so that they can forward requests."""
     routes: dict[identity.NodeId, list[message.Route]] = {}
     for change in changes:
         if (
@@ -1308,15 +1317,18 @@
     leadership = state.leadership
     if leadership is None or not leadership.is_loaded:
         return _refuse(state, "not coordinator")
-    known = leadership.rules.leases.get(request.node)
-    if known is None or known.member.incarnation != request.incarnation:
+    node_lease = leadership.rules.leases.get(request.node)
+    if node_lease is None or node_lease.member.incarnation != request.incarnation:
         return message.Done()
     now = _now(state)
     others = [node for node in leadership.rules.leases if node != request.node]
     if not any(cell.is_member(leadership.rules, node, now) for node in others):
         return _refuse(state, NO_OTHER_MEMBER)
-    member = msgspec.structs.replace(known.member, is_leaving=True)
-    leases = {**leadership.rules.leases, request.node: dataclasses.replace(known, member=member)}
+    member = msgspec.structs.replace(node_lease.member, is_leaving=True)
+    leases = {
+        **leadership.rules.leases,
+        request.node: dataclasses.replace(node_lease, member=member),
+    }
     leadership.rules = dataclasses.replace(
         leadership.rules, leases=leases, members_version=leadership.rules.members_version + 1
     )
@@ -1330,7 +1342,7 @@
 
 
 async def _hand_over(state: State, leadership: Leadership) -> None:
-    """Name a standby as coordinator, so that the cell need not wait for the end of consents."""
+    """Name a standby as coordinator, so that it need not wait until its consent has run out."""
     now = _now(state)
     ready = [
         standby
--- a/src/ebonyvalve/process/quarantine.py
+++ b/src/ebonyvalve/process/quarantine.py
@@ -1,4 +1,8 @@
-"""Quarantine of requests during which a target died."""
+"""Quarantine of requests that were in flight when a target crashed.
+
+A request that crashes its target would crash further targets if it were retried, so requests with
+its fingerprint are refused by all nodes for a while.
+"""
 
 import collections.abc
 import dataclasses
@@ -6,26 +10,26 @@
 from ebonyvalve.process import identity, message
 
 QUARANTINE_S = 60.0
-# 24 nodes that each lose a target with 10 requests in flight every 2 s make 7200 entries.
+# If 24 nodes each lose a target with 10 requests in flight every 2 s, there are 7200 entries.
 CAPACITY = 8192
 
 
 @dataclasses.dataclass(kw_only=True)
 class Quarantine:
-    """Quarantined fingerprints with the time at which each is released."""
+    """Quarantined fingerprints with the time until which each is refused."""
 
     until: dict[identity.Fingerprint, float] = dataclasses.field(default_factory=dict)
-    # Entries that this node made and has not yet reported.
+    # Entries that this node has added and not yet reported.
     unreported: set[identity.Fingerprint] = dataclasses.field(default_factory=set)
 
 
 def record_crash(
     state: Quarantine, fingerprints: collections.abc.Iterable[identity.Fingerprint], now: float
 ) -> None:
-    """Quarantine every request that a target was running when it died.
+    """Quarantine every request that a target was running when it crashed.
 
-    Nothing tells the request that caused the crash from the others. Finding it by running them one
-    at a time would crash a target again, while refusing the others costs them 60 s.
+    The request that caused the crash can't be distinguished from the others. Finding it by running
+    them one at a time would crash a target again, while refusing the others costs them 60 s.
 
     :param state: the node's quarantine.
     :param fingerprints: of the requests in flight.
@@ -47,9 +51,9 @@
 
 
 def export_unreported(state: Quarantine, now: float) -> list[message.Quarantined]:
-    """Return the entries that this node made and has not reported, for its next heartbeat.
+    """Return the entries that this node has added and not reported, for its next heartbeat.
 
-    They stay unreported until :func:`confirm`, because a heartbeat may be lost.
+    They stay unreported until :func:`confirm` is called, because a heartbeat may be lost.
 
     :param state: the node's quarantine.
     :param now: seconds on the node's clock.
@@ -62,16 +66,16 @@
 
 
 def confirm(state: Quarantine, reported: collections.abc.Iterable[message.Quarantined]) -> None:
-    """Note that the coordinator has the entries of a heartbeat.
+    """Record that the coordinator has received the entries of a heartbeat.
 
     :param state: the node's quarantine.
-    :param reported: from :func:`export_new`.
+    :param reported: from :func:`export_unreported`.
     """
     state.unreported.difference_update(entry.fingerprint for entry in reported)
 
 
 def export_all(state: Quarantine, now: float) -> list[message.Quarantined]:
-    """Return all entries, for the coordinator's renewals.
+    """Return all entries that are in force, for the coordinator's renewals.
 
     :param state: the coordinator's quarantine.
     :param now: seconds on the node's clock.
@@ -88,9 +92,9 @@
 ) -> None:
     """Add entries of other nodes.
 
-    An entry is older by the time of each transfer than it says. Two nodes that report it to each
-    other would keep it for ever, if a known one were lengthened by so little; only another crash
-    ends more than half a period later.
+    Each transfer delays the end of an entry by the time that it takes. Two nodes that report an
+    entry to each other would keep it forever if such a delay extended it. A known entry is extended
+    only by more than half a period, which only another crash can cause.
 
     :param state: the node's quarantine.
     :param entries: from a heartbeat or a renewal.
@@ -104,7 +108,7 @@
 
 
 def forget(state: Quarantine, now: float) -> None:
-    """Remove entries whose time is over by so much that no report of them is under way.
+    """Remove entries that ended so long ago that no report of them can still be in transit.
 
     :param state: the node's quarantine.
     :param now: seconds on the node's clock.
--- a/src/ebonyvalve/process/straggler.py
+++ b/src/ebonyvalve/process/straggler.py
@@ -1,4 +1,4 @@
-"""Observed latency of the targets of one service, and which of them are stragglers."""
+"""Detection of stragglers: targets that are much slower than the others of their service."""
 
 import dataclasses
 import statistics
@@ -9,16 +9,16 @@
 
 MEAN_WEIGHT = 0.1
 SLOW_FACTOR = 3.0
-# Replies in a row after which a slow target is bypassed.
+# Consecutive replies after which a slow target becomes a straggler.
 SLOW_REPLIES = 20
 RECOVERED_FACTOR = 2.0
-# Replies in a row after which a bypassed target is used again.
+# Consecutive replies after which a straggler is used normally again.
 FAST_REPLIES = 5
-# One in 50 of the requests that a bypassed target would otherwise get detects its recovery.
+# A bypassed target still gets one in 50 of its requests, to detect its recovery.
 PROBE_ONE_IN = 50
 # Bypassing more than this share of the targets would overload the others.
 MAX_BYPASSED = 0.5
-# A quantile costs about 200 µs to read, a record 1 µs.
+# Computing a quantile takes about 200 µs, recording a value 1 µs.
 REFRESH_REPLIES = 256
 WINDOW_REPLIES = 4096
 
@@ -35,9 +35,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Distribution:
-    """Distribution of the latest replies, in microseconds.
+    """Distribution of the latest latencies, in microseconds.
 
-    Two histograms take turns, so that quantiles cover between one and two windows.
+    Two histograms alternate, so that quantiles cover the last one to two windows.
     """
 
     current: histogram.HdrHistogram = dataclasses.field(default_factory=lambda: _new_histogram())
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ServiceLatencies:
-    """Observed latency of a service."""
+    """Observed latencies of a service."""
 
     targets: dict[identity.NodeId, TargetLatency] = dataclasses.field(default_factory=dict)
     distribution: Distribution = dataclasses.field(default_factory=Distribution)
@@ -61,16 +61,16 @@
     *,
     is_complete: bool = True,
 ) -> None:
-    """Note the latency of one reply.
+    """Record the latency of one reply.
 
-    Requests that are cancelled at their deadline, or because a hedge answered first, are noted with
-    the time they took until then; leaving them out would hide the slowest target. Below the mean
-    that time says nothing, and is left out.
+    Requests that were cancelled at their deadline, or because a hedge was answered first, count
+    with the time until then, as ignoring them would hide the slowest target. If that time is below
+    the target's mean, it shows nothing and is ignored.
 
     :param latencies: the service's latencies.
-    :param node: the node beside the target.
+    :param node: the node of the target.
     :param latency_s: seconds from sending the request to the head of the reply.
-    :param is_complete: whether the reply came, rather than the request being cancelled.
+    :param is_complete: whether the reply arrived; otherwise the request was cancelled.
     """
     latency = latencies.targets.get(node)
     if not is_complete and (latency is None or latency_s < latency.mean_s):
@@ -96,20 +96,20 @@
 def find_median_of_others(latencies: ServiceLatencies, node: identity.NodeId) -> float | None:
     """Return the median of the other targets' mean latencies in seconds, or ``None`` without any.
 
-    The target itself is left out, since with two targets it would pull the median up.
+    The target itself is excluded, because with two targets it would raise the median.
 
     :param latencies: the service's latencies.
-    :param node: the node beside the target.
+    :param node: the node of the target.
     """
     others = [latency.mean_s for name, latency in latencies.targets.items() if name != node]
     return statistics.median_low(others) if others else None
 
 
 def is_bypassed(latencies: ServiceLatencies, node: identity.NodeId) -> bool:
-    """Return whether a target gets only probes.
+    """Return whether a target is bypassed, so that it gets only one in 50 of its requests.
 
     :param latencies: the service's latencies.
-    :param node: the node beside the target.
+    :param node: the node of the target.
     """
     latency = latencies.targets.get(node)
     if latency is None or not latency.is_straggler:
@@ -119,21 +119,21 @@
 
 
 def forget(latencies: ServiceLatencies, node: identity.NodeId) -> None:
-    """Forget a target that left or got a new incarnation.
+    """Remove a target that has left or was restarted.
 
     :param latencies: the service's latencies.
-    :param node: the node beside the target.
+    :param node: the node of the target.
     """
     latencies.targets.pop(node, None)
 
 
 def read_quantile(latencies: ServiceLatencies, share: float) -> float | None:
-    """Return a quantile of the service's latency in seconds, or ``None`` before the first replies.
+    """Return a quantile of the service's latency in seconds, or ``None`` before the first reply.
 
-    The value may lag by 256 replies.
+    The value is cached and may lag by 256 replies.
 
     :param latencies: the service's latencies.
-    :param share: for example 0.95.
+    :param share: the quantile to return, for example 0.95.
     """
     distribution = latencies.distribution
     if share not in distribution.quantiles:
--- a/src/ebonyvalve/process/token_memory.py
+++ b/src/ebonyvalve/process/token_memory.py
@@ -9,26 +9,26 @@
 
 from ebonyvalve.process import identity, message
 
-# Identifies a token within a memory: the digest of its key and its random bytes.
+# Identifies a token within a memory: the digest of its key, followed by its random bytes.
 TokenId = typing.NewType("TokenId", bytes)
 # The digest of the key that a token is bound to; empty for services without keys.
 KeyDigest = typing.NewType("KeyDigest", bytes)
 
 NODE_PREFIX = "node:"
 ALL_KEYS = KeyDigest(b"")
-# A token takes 157 bytes and a full memory 21 MB of the 64 MB that a node may spend on control
-# (bench/tokens.py). With a token life of 300 s it sustains 437 non-idempotent requests/s.
+# A token takes 157 bytes and a full memory 21 MB of the 64 MB that a node may use for control data
+# (bench/tokens.py). With a token life of 300 s, this allows 437 non-idempotent requests/s.
 DEFAULT_LIMIT = 131_072
-# An import cannot be refused without losing tokens, so it may exceed the limit up to this factor.
+# Refusing an import would lose tokens, so an import may exceed the limit up to this factor.
 MAX_IMPORT_FACTOR = 2
 UNKNOWN = "unknown"
-# Tokens carry whole milliseconds, and a clock that is carried over is off by rounding errors. A
-# token issued just before its epoch ended must not appear to have been issued afterwards.
+# Tokens contain whole milliseconds, and a clock that is transferred in a handover has rounding
+# errors. A token issued just before its epoch ended must not appear to have been issued afterwards.
 CLOCK_TOLERANCE_S = 0.001
 
 
 class Record(msgspec.Struct, frozen=True, gc=False, kw_only=True):
-    """What became of the request that used a token.
+    """Outcome of the request that used a token.
 
     ``verdict`` is the value of a ``request.outcome.Verdict``.
     """
@@ -40,22 +40,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Epoch:
-    """Tokens that were issued for a shard under one fencing token."""
+    """The tokens that were issued for a shard under one fencing token."""
 
     shard: identity.ShardId
     fence: identity.Fence
-    # Restricts the epoch to one key, after that key was split off or merged back.
+    # Restricts the epoch to one key that was split off or merged back.
     key: KeyDigest = ALL_KEYS
 
 
 @dataclasses.dataclass(kw_only=True)
 class EpochCoverage:
-    """How far an epoch is covered.
+    """Which tokens of an epoch the memory covers.
 
-    The issuer's clock reads ``now - offset_s``. Tokens issued at or before ``horizon_s`` on that
-    clock may have been forgotten. The issuer issued none after ``closed_s``. ``split_keys`` has the
-    keys that were split off, with the time of the split on the issuer's clock: the tokens issued
-    for them until then went with the split.
+    The issuer's clock is at ``now - offset_s``. Tokens issued at or before ``horizon_s`` on that
+    clock may have been forgotten, and none was issued after ``closed_s``. ``split_keys`` has the
+    keys that were split off, with the time of the split on the issuer's clock; their tokens issued
+    until then belong to the memory of the split-off key.
     """
 
     offset_s: float = 0.0
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Quota:
-    """The number of tokens remembered by all shards of a node."""
+    """Limit and number of the tokens remembered for all shards of a node."""
 
     limit: int = DEFAULT_LIMIT
     count: int = 0
@@ -86,14 +86,14 @@
     coverage: dict[Epoch, EpochCoverage] = dataclasses.field(default_factory=dict)
     used: dict[TokenId, Record] = dataclasses.field(default_factory=dict)
     running: set[TokenId] = dataclasses.field(default_factory=set)
-    # Memories of keys that were split off while their requests ran.
+    # Memories of keys that were split off, where their running requests are to be finished.
     split_memories: dict[KeyDigest, "Memory"] = dataclasses.field(default_factory=dict)
-    # Set by an export: a token that began afterwards could run again at the next owner.
+    # Set by an export: a token that is used afterwards could be used again at the next owner.
     is_closed: bool = False
 
 
 def name_node_shard(service: identity.ServiceId, node: identity.NodeId) -> identity.ShardId:
-    """Return the name under which a node issues tokens for a service without keys.
+    """Return the shard id under which a node issues tokens for a service without keys.
 
     :param service: the service.
     :param node: the issuing node.
@@ -102,7 +102,7 @@
 
 
 def derive_fence(incarnation: identity.Incarnation) -> identity.Fence:
-    """Return the number that stands for a node's incarnation in tokens without a fencing token.
+    """Derive the number that replaces the fencing token in tokens for a service without keys.
 
     :param incarnation: the issuing node's incarnation.
     """
@@ -124,10 +124,10 @@
     life_s: float,
     quota: Quota,
 ) -> Memory:
-    """Return the empty memory of a shard that was granted without a memory.
+    """Return an empty memory for a shard that was granted without one.
 
-    :param shard: the shard, or :func:`name_node` for services without keys.
-    :param fence: the fencing token, or :func:`fence_incarnation`.
+    :param shard: the shard, or the result of :func:`name_node_shard` for services without keys.
+    :param fence: the fencing token, or the result of :func:`derive_fence`.
     :param life_s: seconds for which a token is valid.
     :param quota: shared by all memories of the node.
     """
@@ -144,7 +144,7 @@
     key: KeyDigest,
     issued_s: float,
 ) -> EpochCoverage | None:
-    """Return how far the memory covers a token's epoch, or ``None`` if it does not.
+    """Return the coverage of a token's epoch, or ``None`` if the memory doesn't cover the token.
 
     :param memory: the shard's memory.
     :param shard: the shard named by the token.
@@ -152,20 +152,20 @@
     :param key: the digest of the token's key.
     :param issued_s: when the token was issued, on the issuer's clock.
     """
-    own = memory.coverage.get(Epoch(shard=shard, fence=fence, key=key))
-    if own is not None and issued_s <= own.closed_s:
-        return own
-    shared = memory.coverage.get(Epoch(shard=shard, fence=fence))
-    if shared is None or issued_s <= shared.split_keys.get(key, float("-inf")):
+    key_coverage = memory.coverage.get(Epoch(shard=shard, fence=fence, key=key))
+    if key_coverage is not None and issued_s <= key_coverage.closed_s:
+        return key_coverage
+    shard_coverage = memory.coverage.get(Epoch(shard=shard, fence=fence))
+    if shard_coverage is None or issued_s <= shard_coverage.split_keys.get(key, float("-inf")):
         return None
-    return shared
+    return shard_coverage
 
 
 def is_expired(memory: Memory, coverage: EpochCoverage, issued_s: float, now: float) -> bool:
-    """Return whether a token's life is over.
+    """Return whether a token has expired.
 
-    The horizon keeps a token expired when the life is made longer, or when the clock that was
-    carried over by a handover lags by the time that the handover took.
+    The horizon keeps a token expired when the token life is increased, or when the clock that was
+    transferred in a handover lags by the time that the handover took.
 
     :param memory: the shard's memory.
     :param coverage: the epoch's coverage.
@@ -176,24 +176,24 @@
 
 
 def forget(memory: Memory, now: float) -> int:
-    """Forget what concerns expired tokens only, and return how many tokens were forgotten.
+    """Remove entries of expired tokens, and return how many used tokens were removed.
 
-    A token is remembered for its life after its use, which is never shorter than its remaining
-    life. This keeps the entries in the order in which they are forgotten.
+    A used token is remembered for a full token life after its use, which is never less than its
+    remaining life. Thus the entries are ordered by the time of their removal.
 
     :param memory: the shard's memory.
     :param now: seconds on the node's clock.
     """
-    past = now - memory.life_s
+    cutoff_s = now - memory.life_s
     for epoch, coverage in list(memory.coverage.items()):
-        coverage.horizon_s = max(coverage.horizon_s, past - coverage.offset_s)
+        coverage.horizon_s = max(coverage.horizon_s, cutoff_s - coverage.offset_s)
         for key in [key for key, at_s in coverage.split_keys.items() if at_s <= coverage.horizon_s]:
             del coverage.split_keys[key]
         if coverage.closed_s <= coverage.horizon_s:
             del memory.coverage[epoch]
     forgotten = []
     for token, record in memory.used.items():
-        if record.used_at > past:
+        if record.used_at > cutoff_s:
             break
         forgotten.append(token)
     for token in forgotten:
@@ -203,7 +203,7 @@
 
 
 def drop(memory: Memory) -> None:
-    """Give back the quota of a memory whose shard this node lost or handed over.
+    """Release the quota of a memory whose shard this node lost or handed over.
 
     :param memory: the shard's memory; it must not be used afterwards.
     """
@@ -214,7 +214,7 @@
 
 
 def export_memory(memory: Memory, now: float) -> message.TokenMemory:
-    """Close the memory and return it for a handover. A repeated call returns the same tokens.
+    """Close the memory and return it for a handover; a repeated call returns the same tokens.
 
     Requests that are still running are exported with verdict ``unknown``.
 
@@ -252,14 +252,14 @@
 
 
 def import_memory(memory: Memory, moved: message.TokenMemory, now: float) -> bool:
-    """Add a memory that came with a grant; return whether there was room for it.
+    """Add a memory that came with a grant, and return whether the quota had room for it.
 
-    Without room, its tokens stay uncovered and are refused as lost. Epochs and tokens that are
-    already known are left as they are, so that a grant may be delivered twice. When the memory is
-    of a key that is merged back into its partition, its epochs hold for that key only.
+    Without room, its tokens are not covered and are refused as lost. Known epochs and tokens are
+    not changed, so a grant may be delivered twice. If the memory is of a key that is merged back
+    into its partition, its epochs apply to that key only.
 
     :param memory: the memory of the granted shard.
-    :param moved: from the former owner's :func:`export_memory`.
+    :param moved: the result of the former owner's :func:`export_memory`.
     :param now: seconds on the node's clock.
     """
     key = ALL_KEYS
@@ -278,7 +278,9 @@
             offset_s=now - coverage.clock_s,
             horizon_s=coverage.horizon_s,
             closed_s=coverage.closed_s,
-            split_keys={KeyDigest(_decode(gone)): at_s for gone, at_s in coverage.split_keys},
+            split_keys={
+                KeyDigest(_decode(split_key)): at_s for split_key, at_s in coverage.split_keys
+            },
         )
     for token, used in new.items():
         memory.used[token] = Record(
@@ -299,8 +301,8 @@
 ) -> Memory:
     """Split a key off a partition and return the memory of the key's own shard.
 
-    The partition no longer covers the tokens that it issued for the key: they may be used at the
-    key's next owner, and that owner may be lost before the key is merged back.
+    The partition's memory no longer covers the tokens that it issued for the key, because they may
+    be used at the key's next owner, which may be lost before the key is merged back.
 
     :param memory: the partition's memory.
     :param key: the key.
@@ -308,30 +310,30 @@
     :param fence: the fencing token of the key's own shard.
     :param now: seconds on the node's clock.
     """
-    tag = digest_key(key)
-    own = create(shard=shard, fence=fence, life_s=memory.life_s, quota=memory.quota)
-    for epoch in [epoch for epoch in memory.coverage if epoch.key == tag]:
-        own.coverage[epoch] = memory.coverage.pop(epoch)
+    digest = digest_key(key)
+    key_memory = create(shard=shard, fence=fence, life_s=memory.life_s, quota=memory.quota)
+    for epoch in [epoch for epoch in memory.coverage if epoch.key == digest]:
+        key_memory.coverage[epoch] = memory.coverage.pop(epoch)
     for epoch, coverage in memory.coverage.items():
         if epoch.key != ALL_KEYS:
             continue
         split_s = now - coverage.offset_s + CLOCK_TOLERANCE_S
-        earlier = own.coverage.get(dataclasses.replace(epoch, key=tag))
-        horizon_s = max(coverage.horizon_s, coverage.split_keys.get(tag, float("-inf")))
-        own.coverage[dataclasses.replace(epoch, key=tag)] = EpochCoverage(
+        earlier = key_memory.coverage.get(dataclasses.replace(epoch, key=digest))
+        horizon_s = max(coverage.horizon_s, coverage.split_keys.get(digest, float("-inf")))
+        key_memory.coverage[dataclasses.replace(epoch, key=digest)] = EpochCoverage(
             offset_s=coverage.offset_s,
-            # A key that was merged back with its memory is covered without a gap.
+            # If the key was merged back with its memory, the coverage has no gap.
             horizon_s=horizon_s if earlier is None else earlier.horizon_s,
             closed_s=min(coverage.closed_s, split_s),
         )
-        coverage.split_keys[tag] = split_s
-    memory.split_memories[tag] = own
-    for token in [token for token in memory.used if token.startswith(tag)]:
-        own.used[token] = memory.used.pop(token)
-    for token in [token for token in memory.running if token.startswith(tag)]:
+        coverage.split_keys[digest] = split_s
+    memory.split_memories[digest] = key_memory
+    for token in [token for token in memory.used if token.startswith(digest)]:
+        key_memory.used[token] = memory.used.pop(token)
+    for token in [token for token in memory.running if token.startswith(digest)]:
         memory.running.remove(token)
-        own.running.add(token)
-    return own
+        key_memory.running.add(token)
+    return key_memory
 
 
 def _encode(digest: bytes) -> str:
