--- a/tests/process/mesh.py
+++ b/tests/process/mesh.py
@@ -1,4 +1,4 @@
-"""Several nodes in one process on a mock clock, with the faults that tests inject."""
+"""A cell of several nodes in one process, on a mock clock, with faults that tests inject."""
 
 import collections
 import collections.abc
@@ -25,13 +25,13 @@
 HOT_KEYS = [identity.KeyId("hot1"), identity.KeyId("hot2")]
 HALF_TRIP_S = 0.00075
 MAX_TOKENS = 20
-# Two clocks run apart by the bound that the rules assume.
+# The clocks of two nodes drift apart by the bound that leases allow for.
 CLOCK_RATES = [0.0005, -0.0005]
 
 
 @dataclasses.dataclass(kw_only=True)
 class Host:
-    """One node with its process, which can be paused or lost."""
+    """A node whose process can be paused, ended and started again."""
 
     name: identity.NodeId
     zone: identity.ZoneId
@@ -42,10 +42,10 @@
     resumed: trio.Event = dataclasses.field(default_factory=trio.Event)
     paused: trio.Event = dataclasses.field(default_factory=trio.Event)
     shards: int = 0
-    abandoned: list[identity.ShardId] = dataclasses.field(default_factory=list)
-    is_store_cut: bool = False
+    cancelled: list[identity.ShardId] = dataclasses.field(default_factory=list)
+    is_store_lost: bool = False
     release_s: float = 0.0
-    # The node's clock runs at another rate and from another start than the others'.
+    # The clocks of the nodes differ in rate and origin.
     clock_rate: float = 1.0
     clock_start_s: float = 0.0
     # Replaced whenever the node's view of ownership changes.
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Interval:
-    """A span in which a node would have served a shard."""
+    """A period in which a node would have served a shard."""
 
     node: identity.NodeId
     shard: identity.ShardId
@@ -70,8 +70,10 @@
     nursery: trio.Nursery
     store: platform.Memory
     hosts: dict[identity.NodeId, Host] = dataclasses.field(default_factory=dict)
-    # Directed pairs whose messages are lost, in requests and replies alike.
-    cut: set[tuple[identity.NodeId, identity.NodeId]] = dataclasses.field(default_factory=set)
+    # Pairs of sender and receiver between which requests and replies are lost.
+    lost_links: set[tuple[identity.NodeId, identity.NodeId]] = dataclasses.field(
+        default_factory=set
+    )
     partitions: int = 8
     checks_fence: bool = True
     deadline_s: float = 0.4
@@ -80,12 +82,12 @@
         dataclasses.field(default_factory=dict)
     )
     step_s: float = 0.002
-    # By shard and fencing token, the tokens used so far, and uses that an owner did not know of.
+    # By shard and fencing token, the one-time tokens used so far; and owners that lacked some.
     used: dict[tuple[identity.ShardId, identity.Fence], set[str]] = dataclasses.field(
         default_factory=dict
     )
-    forgotten: list[str] = dataclasses.field(default_factory=list)
-    # Plans that tests add to what placement returns by itself.
+    unknown_uses: list[str] = dataclasses.field(default_factory=list)
+    # Plans that tests add to the result of placement.
     plans: list[assignment.Plan] = dataclasses.field(default_factory=list)
     asked: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
@@ -102,7 +104,7 @@
 
 
 def place(mesh: Mesh, view: assignment.PlacementView) -> assignment.Plan:
-    """Give unowned shards, and those of leaving nodes, to the members with the fewest."""
+    """Assign unowned shards, and those of leaving nodes, to the members with the fewest shards."""
     members = [node for node, member in view.members.items() if not member.is_leaving]
     counts = dict.fromkeys(sorted(members), 0)
     for owner in view.owners.values():
@@ -122,7 +124,7 @@
 
 
 def start(mesh: Mesh, name: str, zone: str) -> Host:
-    """Start a node, or start it again after it was lost."""
+    """Start a node, or restart it after it was lost."""
     node = identity.NodeId(name)
     host = mesh.hosts.setdefault(node, Host(name=node, zone=identity.ZoneId(zone)))
     host.starts += 1
@@ -139,7 +141,7 @@
 
 
 def lose(host: Host) -> None:
-    """End a process without any farewell."""
+    """End the process of a node without a handover."""
     host.scope.cancel()
     host.state = None
 
@@ -162,7 +164,7 @@
 
 
 async def _run_timer(host: Host, clock: timer.Timer) -> None:
-    """Run the timer service; a paused node wakes nobody."""
+    """Run the timer service, except while the node is paused."""
     while True:
         await host.resumed.wait()
         with trio.CancelScope() as scope:
@@ -225,19 +227,19 @@
     async def read(key: str) -> platform.RowResult:
         found = await backing.table.read(key)
         await host.resumed.wait()
-        if host.is_store_cut:
+        if host.is_store_lost:
             return result.Failure(platform.StoreFailure.UNAVAILABLE)
         return found
 
     async def scan(prefix: str) -> platform.RowsResult:
         found = await backing.table.scan(prefix)
         await host.resumed.wait()
-        if host.is_store_cut:
+        if host.is_store_lost:
             return result.Failure(platform.StoreFailure.UNAVAILABLE)
         return found
 
     async def commit(expected: platform.Expected, writes: platform.Writes) -> platform.CommitState:
-        if host.is_store_cut:
+        if host.is_store_lost:
             await trio.sleep(mesh.store.delay_s)
             return platform.CommitState.UNKNOWN
         outcome = await backing.table.commit(expected, writes)
@@ -259,7 +261,7 @@
         install=install,
         inherit=inherit,
         forget=forget,
-        cancel_requests=host.abandoned.extend,
+        cancel_requests=host.cancelled.extend,
         adopt_config=adopt_config,
         describe_member=lambda: member,
         collect_loads=list,
@@ -294,24 +296,24 @@
 ) -> peer.AskResult:
     await trio.sleep(HALF_TRIP_S)
     target = mesh.hosts.get(name)
-    if target is None or (source.name, name) in mesh.cut:
+    if target is None or (source.name, name) in mesh.lost_links:
         await trio.sleep_forever()
     assert target is not None
     await target.resumed.wait()
     state = target.state
     if state is None:
-        # A lost VM answers nothing.
+        # A lost VM does not reply.
         await trio.sleep_forever()
     assert state is not None
     answer = await ownership.handle(state, request)
     await trio.sleep(HALF_TRIP_S)
-    if (name, source.name) in mesh.cut:
+    if (name, source.name) in mesh.lost_links:
         await trio.sleep_forever()
     return result.Success(answer)
 
 
 async def leave(host: Host) -> bool:
-    """Stop a node as an operator would; return whether it could hand over first."""
+    """Stop a node gracefully, and return whether it handed over its shards first."""
     assert host.state is not None
     is_done = await ownership.leave(host.state)
     lose(host)
@@ -332,17 +334,17 @@
     return [mesh.hosts[instance.node] for instance in state.leadership.rules.row.standbys]
 
 
-def find_plain(mesh: Mesh) -> Host:
+def find_plain_owner(mesh: Mesh) -> Host:
     """Return an owner that is neither coordinator nor standby."""
     busy = [find_coordinator(mesh), *list_standbys(mesh)]
     return next(host for host in mesh.hosts.values() if host not in busy)
 
 
 def cut_off(mesh: Mesh, name: str) -> None:
-    """Lose every message between a node and the others, in both directions."""
+    """Lose all messages between a node and the others, in both directions."""
     for other in mesh.hosts:
         if other != name:
-            mesh.cut |= {(identity.NodeId(name), other), (other, identity.NodeId(name))}
+            mesh.lost_links |= {(identity.NodeId(name), other), (other, identity.NodeId(name))}
 
 
 def find_coordinator(mesh: Mesh) -> Host:
@@ -355,7 +357,7 @@
 
 
 def list_served(host: Host, shards: list[identity.ShardId]) -> dict[identity.ShardId, int]:
-    """Return the shards that a node would serve now, with fencing tokens."""
+    """Return the shards that a node would serve now, with their fencing tokens."""
     if host.state is None or not host.resumed.is_set():
         return {}
     now = read_clock(host)
@@ -367,7 +369,7 @@
 
 
 def observe(mesh: Mesh) -> None:
-    """Extend the history by what every node would serve now, and use a token of each shard."""
+    """Record which shards every node would serve now, and use a one-time token of each."""
     now = trio.current_time()
     partition = list_shards(mesh)[0]
     for host in mesh.hosts.values():
@@ -379,19 +381,19 @@
             if identity.split_shard(shard)[2] is None:
                 _extend(mesh, host, shard, identity.Fence(fence), now)
         for key in HOT_KEYS:
-            own = identity.name_key(SERVICE, key)
-            for shard in (partition, own):
-                under = lease.find_fence(host.state.node, shard, key, read_clock(host))
-                if under is not None:
-                    _extend(mesh, host, own, under, now)
+            key_shard = identity.name_key(SERVICE, key)
+            for shard in (partition, key_shard):
+                held_fence = lease.find_fence(host.state.node, shard, key, read_clock(host))
+                if held_fence is not None:
+                    _extend(mesh, host, key_shard, held_fence, now)
 
 
 def _use_token(mesh: Mesh, host: Host, shard: identity.ShardId, fence: identity.Fence) -> None:
-    """Check that the owner knows every token used under its fencing token, and use another."""
+    """Record if the owner lacks a token used under its fencing token, and use another token."""
     used = mesh.used.setdefault((shard, fence), set())
     known = host.memory.setdefault(shard, set())
     if not used <= known:
-        mesh.forgotten.append(f"{host.name} {shard} fence {fence} at {trio.current_time():.3f}")
+        mesh.unknown_uses.append(f"{host.name} {shard} fence {fence} at {trio.current_time():.3f}")
     if len(used) < MAX_TOKENS:
         token = f"{host.name}-{fence}-{len(used)}"
         used.add(token)
@@ -413,7 +415,7 @@
 def find_conflicts(history: list[Interval]) -> list[tuple[Interval, Interval]]:
     """Return pairs of intervals in which two nodes would serve one shard.
 
-    An owner with a lower fencing token after one with a higher counts as a conflict too.
+    A later interval with a lower fencing token counts as a conflict as well.
     """
     conflicts = []
     by_shard: dict[identity.ShardId, list[Interval]] = {}
@@ -430,7 +432,7 @@
 
 
 def find_gaps(mesh: Mesh, since_s: float) -> dict[identity.ShardId, float]:
-    """Return, by shard, the longest time since ``since_s`` in which no node served it."""
+    """Return, by shard, the longest time after ``since_s`` in which no node served it."""
     now = trio.current_time()
     gaps = {}
     for shard in list_shards(mesh):
@@ -448,7 +450,7 @@
 
 
 async def watch(mesh: Mesh, period_s: float) -> None:
-    """Observe for a while."""
+    """Observe all nodes for a period."""
     end_s = trio.current_time() + period_s
     while trio.current_time() < end_s:
         observe(mesh)
--- a/tests/process/test_cell.py
+++ b/tests/process/test_cell.py
@@ -1,4 +1,4 @@
-"""Tests of who may claim a cell, and from when its leases have expired."""
+"""Tests of which process may claim a cell, and when all leases under its row have expired."""
 
 import dataclasses
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Case:
-    """A claimant, and the bound that it has to wait for; ``None`` if it must not claim."""
+    """A claimant, and the time until which leases may be valid; ``None`` if it must not claim."""
 
     name: str
     instance: cell.NodeInstance
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
 def test_find_lease_bound(case: Case) -> None:
-    """Guards against a claim while leases may be renewed, or that ignores those that are left."""
+    """Guards against a claim while leases may still be renewed, and a bound before their expiry."""
     announced = {
         identity.NodeId(node): identity.Incarnation(start) for node, start in case.announced.items()
     }
@@ -81,7 +81,7 @@
 
 
 def test_no_consent_during_a_claim() -> None:
-    """Guards against a standby that consents although its claim may have taken effect."""
+    """Guards against a standby that gives consent while its own claim may have taken effect."""
     term = identity.Term(4)
     assert (
         cell.give_consent(cell.Standby(), followed_term=term, requested_term=term, now=NOW)
@@ -96,7 +96,7 @@
 
 
 def test_proposed_standbys_count_with_the_old_ones() -> None:
-    """Guards against renewals without a standby whose replacement was not committed."""
+    """Guards against renewals that ignore a standby before its replacement is committed."""
     state = cell.open_coordinator(
         ROW,
         cell=identity.CellId("main"),
--- a/tests/process/test_lease.py
+++ b/tests/process/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of the rules of a node's lease."""
+"""Tests of a node's lease and holdings."""
 
 from ebonyvalve.process import identity, lease, message
 
@@ -41,29 +41,29 @@
     return state
 
 
-def grant(state: lease.Node, fence: int, order: int, now: float) -> tuple[lease.Node, bool]:
+def grant(state: lease.Node, fence: int, sequence: int, now: float) -> tuple[lease.Node, bool]:
     holding = message.Holding(shard=SHARD, fence=identity.Fence(fence))
-    return lease.grant(state, make_grant(state, [holding], order), now)
+    return lease.grant(state, make_grant(state, [holding], sequence), now)
 
 
-def make_grant(state: lease.Node, holdings: list[message.Holding], order: int) -> message.Grant:
+def make_grant(state: lease.Node, holdings: list[message.Holding], sequence: int) -> message.Grant:
     return message.Grant(
         term=state.term,
         holdings=holdings,
         memories=[],
         incarnation=state.incarnation,
-        sequence=order,
+        sequence=sequence,
     )
 
 
-def make_revoke(state: lease.Node, order: int) -> message.Revoke:
+def make_revoke(state: lease.Node, sequence: int) -> message.Revoke:
     return message.Revoke(
-        term=state.term, shards=[SHARD], incarnation=state.incarnation, sequence=order
+        term=state.term, shards=[SHARD], incarnation=state.incarnation, sequence=sequence
     )
 
 
 def test_lease_counts_from_sending() -> None:
-    """Guards against a lease that outlives the coordinator's count when a reply is slow."""
+    """Guards against a lease that ends after the coordinator expects it to, if a reply is slow."""
     state = renew(make_node(), 1.0, 1.4)
     assert lease.is_live(state, 1.0 + lease.LEASE_S - 0.001)
     assert not lease.is_live(state, 1.0 + lease.LEASE_S)
@@ -71,7 +71,7 @@
 
 
 def test_suspended_holding_needs_confirmation() -> None:
-    """Guards against a paused owner that serves an old holding after its next renewal."""
+    """Guards against an owner that serves an old holding when it is renewed after a pause."""
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     assert lease.find_fence(state, SHARD, KEY, 0.1) == 1
     state, pending = lease.begin_heartbeat(state, 5.0)
@@ -84,7 +84,7 @@
 
 
 def test_renewal_of_other_term_or_older_configuration_is_ignored() -> None:
-    """Guards against a replaced coordinator that extends a lease, and a reverted configuration."""
+    """Guards against a former coordinator that extends a lease, and a reverted configuration."""
     state, pending = lease.begin_heartbeat(make_node(), 0.0)
     followed = lease.follow(
         state, term=SECOND, coordinator=A, address=identity.Address("a:1"), sequence=1, now=0.0
@@ -100,7 +100,7 @@
 
 
 def test_overtaken_grant_is_refused() -> None:
-    """Guards against a delayed grant that arrives after the shard was released and moved."""
+    """Guards against accepting a delayed grant after the shard was released and moved."""
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     state, held = lease.begin_release(state, make_revoke(state, 3), 0.1)
     assert held == [SHARD]
@@ -112,10 +112,10 @@
 
 
 def test_dropped_release_leaves_lapsed_holding_suspended() -> None:
-    """Guards against an old holding that a change of coordinator puts back into service.
+    """Guards against serving a lapsed holding again when a new coordinator cancels its release.
 
-    Seed 582 of the random fault schedule showed it: a node that had been paused was releasing what
-    others owned already, was renewed meanwhile, and then followed a new coordinator.
+    Found by seed 582 of the random faults: a node that had been paused was releasing shards that
+    others owned already, was renewed in the meantime, and then followed a new coordinator.
     """
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     state = lease.lapse(state, 5.0)
@@ -131,7 +131,7 @@
 
 
 def test_release_in_progress_goes_on_in_service_under_a_new_coordinator() -> None:
-    """Guards against a shard that nobody serves because its release was asked for in vain."""
+    """Guards against a shard that no node serves because a former coordinator revoked it."""
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     state, _ = lease.begin_release(state, make_revoke(state, 2), 0.1)
     state = lease.follow(
@@ -141,10 +141,10 @@
 
 
 def test_order_for_previous_process_is_refused() -> None:
-    """Guards against a restarted node that takes, or denies having held, its predecessor's shards.
+    """Guards against a restarted node that accepts messages for its previous process.
 
-    It has lost the token memory, so a grant meant for its predecessor would let tokens be used
-    twice.
+    The token memory is lost, so one-time tokens could be used twice after such a grant. An answer
+    to such a revoke would deny that the shards were held.
     """
     before = make_node()
     state = lease.Node(node=A, incarnation=identity.Incarnation("a2"), term=FIRST)
@@ -154,23 +154,23 @@
 
 
 def test_excluded_key_is_not_served_under_its_partition() -> None:
-    """Guards against a hot key that is served under both its own shard and its partition."""
+    """Guards against a hot key that is served both as its own shard and in its partition."""
     state = renew(make_node(), 0.0, 0.0)
-    own = identity.name_key(identity.ServiceId("stock"), KEY)
-    both = [
+    key_shard = identity.name_key(identity.ServiceId("stock"), KEY)
+    holdings = [
         message.Holding(shard=SHARD, fence=identity.Fence(1), excluded=[KEY]),
-        message.Holding(shard=own, fence=identity.Fence(2)),
+        message.Holding(shard=key_shard, fence=identity.Fence(2)),
     ]
-    state, _ = lease.grant(state, make_grant(state, both, 1), 0.0)
+    state, _ = lease.grant(state, make_grant(state, holdings, 1), 0.0)
     assert lease.find_fence(state, SHARD, KEY, 0.0) is None
-    assert lease.find_fence(state, own, KEY, 0.0) == 2
+    assert lease.find_fence(state, key_shard, KEY, 0.0) == 2
     state, _ = grant(state, 3, 2, 0.0)
     assert lease.find_fence(state, SHARD, KEY, 0.0) == 3
-    assert own not in state.holdings
+    assert key_shard not in state.holdings
 
 
 def test_renewal_needs_every_consent() -> None:
-    """Guards against a claim by one standby while another one's consent still counts."""
+    """Guards against renewals when one of several standbys has not consented or its time is up."""
     consents = {A: lease.compute_consent_end(1.0), C: lease.compute_consent_end(1.1)}
     assert lease.may_renew(consents, [A, C], 1.29)
     assert not lease.may_renew(consents, [A, C], 1.3)
--- a/tests/process/test_limit.py
+++ b/tests/process/test_limit.py
@@ -1,4 +1,4 @@
-"""Admission: limits, slow start, cold turns and the bounded queue."""
+"""Tests of admission: the limit, slow start, detection of cold targets and the bounded queue."""
 
 import hypothesis
 from hypothesis import strategies
@@ -10,7 +10,7 @@
 
 
 def make_steady(slots: int = 10, latency_s: float = 0.01) -> limit.Target:
-    """A warm target that answered 200 requests at a steady rate before time 0."""
+    """Return a warm target that answered 200 requests at a steady rate before time 0."""
     target = limit.create(slots=slots, warm_up_s=20.0)
     target.phase, target.limit = limit.Phase.STEADY, float(slots)
     for index in range(200):
@@ -45,7 +45,7 @@
 def test_limit_and_queue_are_never_exceeded(
     slots: int, steps: list[tuple[str, limit.Reply, float]]
 ) -> None:
-    """Guards against a ticket that runs above the limit, runs twice or is lost in the queue."""
+    """Guards against requests above the limit, and tickets that run twice or get lost."""
     target = limit.create(slots=slots, warm_up_s=1.0)
     now = 0.0
     running: list[limit.Ticket] = []
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("slots", [6, 10])
 def test_slow_start_grows_with_work_only(slots: int) -> None:
-    """Guards against a cold target that gets full load because time passed, or too early."""
+    """Guards against a cold target that gets full load too early or merely because time passed."""
     target = limit.create(slots=slots, warm_up_s=20.0)
     now = 0.0
     while target.phase is limit.Phase.WARMING:
@@ -136,20 +136,20 @@
         (shed, limit.Phase.WARMING),
         (lambda target: limit.record_report(target, is_cold=True), limit.Phase.WARMING),
         (hiccup, limit.Phase.STEADY),
-        # Replies come faster one after the other: more load, not a cold target.
+        # Replies arrive at shorter intervals: the load has risen, and the target is not cold.
         (lambda target: answer(target, 16, 0.001), limit.Phase.STEADY),
         (repeat_report, limit.Phase.STEADY),
     ],
 )
 def test_cold_turns(event: object, phase: limit.Phase) -> None:
-    """Guards against a cold turn that goes unnoticed, and against load taken for one."""
+    """Guards against a cold target that is not detected, and a warm one that is taken for cold."""
     target = make_steady()
     event(target)  # type: ignore[operator]
     assert target.phase is phase
 
 
 def test_overload_lowers_the_limit_once_per_reply_time() -> None:
-    """Guards against one burst of sheds that takes the limit down to 1."""
+    """Guards against a burst of shed requests that lowers the limit to 1."""
     target = make_steady()
     tickets = [admit(target, 1.0).ticket for _ in range(10)]
     for ticket in tickets[:2]:
@@ -159,7 +159,7 @@
 
 
 def test_queue_sheds_before_the_deadline() -> None:
-    """Guards against a request that waits for its body to be read only to be refused later."""
+    """Guards against queuing requests that can't run before their deadline."""
     target = make_steady(slots=1, latency_s=0.05)
     target.limit = 1.0
     answers = [admit(target, 1.0, deadline=1.12) for _ in range(4)]
@@ -174,7 +174,7 @@
 
 
 def test_handover_waits_in_order_within_deadlines() -> None:
-    """Guards against refusals during a planned move, and against a burst of 50 that is refused."""
+    """Guards against refusals of a burst of 50 requests during a planned move."""
     target = make_steady()
     limit.pause(target)
     answers = [admit(target, 1.0, deadline=1.05 if index == 0 else 1.4) for index in range(50)]
@@ -205,7 +205,7 @@
 def test_broken_admission_is_found(
     monkeypatch: pytest.MonkeyPatch, name: str, value: object, check: object
 ) -> None:
-    """Guards against checks that pass whatever the code does."""
+    """Guards against checks above that pass although the admission is broken."""
     monkeypatch.setattr(limit, name, value)
     with pytest.raises(AssertionError):
         check()  # type: ignore[operator]
--- a/tests/process/test_straggler.py
+++ b/tests/process/test_straggler.py
@@ -1,4 +1,4 @@
-"""Stragglers are bypassed, and come back when they answer in time."""
+"""Tests of the detection of stragglers and of their recovery."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 def test_straggler_is_bypassed_and_recovers() -> None:
-    """Guards against a straggler that keeps its share, or is lost for good."""
+    """Guards against a straggler that is not bypassed, or is still bypassed after its recovery."""
     latencies = straggler.ServiceLatencies()
     fill(latencies, set())
     assert list_bypassed(latencies) == []
@@ -35,7 +35,7 @@
     ("targets", "slow"), [(4, {0, 1, 2}), (4, {0, 1, 2, 3}), (3, {0, 1}), (1, {0})]
 )
 def test_majority_is_never_bypassed(targets: int, slow: set[int]) -> None:
-    """Guards against a slow service whose last targets get all requests."""
+    """Guards against a slow service whose few remaining targets get all requests."""
     latencies = straggler.ServiceLatencies()
     fill(latencies, set(), targets)
     fill(latencies, slow, targets)
@@ -43,7 +43,7 @@
 
 
 def test_cancelled_attempts_show_slowness_only() -> None:
-    """Guards against hedges that hide the slow target, or make a cancelled one look fast."""
+    """Guards against hedges that hide a slow target or make it look fast by cancelling requests."""
     latencies = straggler.ServiceLatencies()
     fill(latencies, set())
     straggler.record(latencies, NODES[0], 0.0001, is_complete=False)
@@ -54,7 +54,7 @@
 
 
 def test_quantiles_cover_recent_replies_only() -> None:
-    """Guards against a hedge time that old replies hold up."""
+    """Guards against a hedge delay that is too long because of old replies."""
     latencies = straggler.ServiceLatencies()
     assert straggler.read_quantile(latencies, 0.95) is None
     for latency_s in [0.2] * 5000 + [0.01] * 3 * straggler.WINDOW_REPLIES:
@@ -103,7 +103,7 @@
 def test_broken_detection_is_found(
     monkeypatch: pytest.MonkeyPatch, name: str, value: object, check: object
 ) -> None:
-    """Guards against checks that pass whatever the code does."""
+    """Guards against checks above that pass although the detection is broken."""
     monkeypatch.setattr(straggler, name, value)
     with pytest.raises(AssertionError):
         check()  # type: ignore[operator]
--- a/tests/process/test_terms.py
+++ b/tests/process/test_terms.py
@@ -1,4 +1,4 @@
-"""Interleavings of claims, renewals, releases and lost replies, on the pure rules alone."""
+"""Tests of ``lease`` and ``cell`` under all orders of claims, renewals, releases and losses."""
 
 import collections.abc
 import dataclasses
@@ -21,20 +21,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Envelope:
-    """A message under way, which may be delivered late, or never."""
+    """A message in transit, which may be delivered late or never."""
 
     source: identity.NodeId
     target: identity.NodeId
     body: message.Message
     pending: lease.PendingHeartbeat | None = None
     sent_at_s: float = 0.0
-    # Set while a release waits for the requests in flight; delivering it ends the release.
+    # A release that waits for requests in flight; its delivery ends the release.
     is_release: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class World:
-    """Three nodes that may all be coordinator, the table, and the messages under way."""
+    """Three nodes that can each be coordinator, the table, and the messages in transit."""
 
     now: float = 0.0
     nodes: dict[identity.NodeId, lease.Node]
@@ -66,7 +66,7 @@
 
 
 def make_world() -> World:
-    """Return a cell in which a is coordinator, b standby, and c holds the shard."""
+    """Return a cell with coordinator a and standby b, in which c holds the shard."""
     a, b, c = NAMES
     row = cell.CellRow(
         term=identity.Term(1), coordinator=make_instance(a), standbys=[make_instance(b)]
@@ -135,7 +135,7 @@
     ]
 
 
-# Steps. Each returns the world after it, or None if it cannot be taken.
+# Steps. Each returns the world after the step, or None if the step is impossible.
 
 
 def pass_time(world: World, period_s: float) -> World | None:
@@ -212,10 +212,10 @@
     )
     world = dataclasses.replace(put_node(world, node), rows=rows)
     world = put_coordinator(world, coordinator)
-    return call_nodes(world, name)
+    return send_follow(world, name)
 
 
-def call_nodes(world: World, name: identity.NodeId) -> World | None:
+def send_follow(world: World, name: identity.NodeId) -> World | None:
     coordinator = world.coordinators.get(name)
     if coordinator is None:
         return None
@@ -232,8 +232,8 @@
     return send(world, *(Envelope(source=name, target=other, body=body) for other in missing))
 
 
-def lead(world: World, name: identity.NodeId, target: identity.NodeId) -> World | None:
-    """Let a coordinator expire leases, plan a move to a node, commit, revoke and grant."""
+def run_coordinator(world: World, name: identity.NodeId, target: identity.NodeId) -> World | None:
+    """Expire leases, plan a move to a node, commit, and send revokes and grants."""
     coordinator = world.coordinators.get(name)
     if coordinator is None:
         return None
@@ -302,7 +302,7 @@
 
 
 def deliver(world: World, index: int, is_reply_lost: bool) -> World | None:
-    """Deliver a message; its reply goes under way unless it is lost."""
+    """Deliver a message, and send its reply unless that is lost."""
     if index >= len(world.sent):
         return None
     envelope = world.sent[index]
@@ -427,38 +427,38 @@
     return dataclasses.replace(world, sent=())
 
 
-def call_one(world: World, name: identity.NodeId, other: identity.NodeId) -> World | None:
-    """Let a coordinator collect one node; messages to others are lost."""
-    world = run_steps(world, functools.partial(call_nodes, name=name))
+def collect_node(world: World, name: identity.NodeId, other: identity.NodeId) -> World | None:
+    """Let a coordinator collect the holdings of one node; messages to others are lost."""
+    world = run_steps(world, functools.partial(send_follow, name=name))
     kept = tuple(envelope for envelope in world.sent if envelope.target == other)
     return run_steps(dataclasses.replace(world, sent=kept), deliver_first, deliver_first)
 
 
-def beat_through(world: World, name: identity.NodeId) -> World | None:
-    """Let a node renew its lease without delay."""
+def renew_lease(world: World, name: identity.NodeId) -> World | None:
+    """Renew the lease of a node with a heartbeat that is answered at once."""
     world = run_steps(dataclasses.replace(world, sent=()), lambda w: begin_heartbeat(w, name))
     return run_steps(world, deliver_first, deliver_first)
 
 
-def start_quietly() -> World:
+def start_undisturbed() -> World:
     return make_world()
 
 
 def start_after_claim() -> World:
-    """b has claimed the cell and its own lease is renewed; c has not answered."""
+    """Start after b claimed the cell and renewed its own lease; c has not answered."""
     _, b, _ = NAMES
     return run_steps(
         make_world(),
         wait_long,
         lambda w: claim(w, b),
         drop_all,
-        lambda w: call_one(w, b, b),
-        lambda w: beat_through(w, b),
+        lambda w: collect_node(w, b, b),
+        lambda w: renew_lease(w, b),
     )
 
 
 def start_after_lapse() -> World:
-    """c was silent until its shard went to b, which holds it and is renewed."""
+    """Start after c was silent until its shard was moved to b, whose lease is valid."""
     a, b, c = NAMES
     world = make_world()
     for _ in range(4):
@@ -468,24 +468,24 @@
             lambda w: ask_consent(w, a),
             deliver_first,
             deliver_first,
-            lambda w: beat_through(w, b),
+            lambda w: renew_lease(w, b),
         )
-    world = run_steps(world, lambda w: lead(w, a, b), deliver_first, deliver_first)
+    world = run_steps(world, lambda w: run_coordinator(w, a, b), deliver_first, deliver_first)
     assert find_servers(world) == [b]
-    return run_steps(world, lambda w: call_one(w, a, c))
+    return run_steps(world, lambda w: collect_node(w, a, c))
 
 
 def start_in_move() -> World:
-    """The coordinator has asked c to release the shard for b."""
+    """Start when the coordinator has asked c to release the shard for b."""
     a, b, _ = NAMES
-    return run_steps(make_world(), lambda w: beat_through(w, b), lambda w: lead(w, a, b))
+    return run_steps(make_world(), lambda w: renew_lease(w, b), lambda w: run_coordinator(w, a, b))
 
 
-STARTS = [start_quietly, start_after_claim, start_after_lapse, start_in_move]
+STARTS = [start_undisturbed, start_after_claim, start_after_lapse, start_in_move]
 
 
 def list_steps(world: World) -> list[Step]:
-    """Return every step that is explored from a world."""
+    """Return all steps to explore from a world."""
     a, b, c = NAMES
     steps: list[Step] = [
         lambda w: begin_heartbeat(w, b),
@@ -495,7 +495,9 @@
         lambda w: pass_time(w, 0.16),
         wait_long,
     ]
-    steps += [functools.partial(lead, name=name, target=b) for name in world.coordinators]
+    steps += [
+        functools.partial(run_coordinator, name=name, target=b) for name in world.coordinators
+    ]
     for index in range(len(world.sent)):
         steps.append(functools.partial(deliver, index=index, is_reply_lost=False))
         steps.append(functools.partial(deliver, index=index, is_reply_lost=True))
@@ -503,11 +505,11 @@
 
 
 def explore(world: World, depth: int) -> tuple[int, int]:
-    """Return how many worlds were visited, and in how many two nodes served the shard."""
+    """Return how many worlds were visited, and in how many of them two nodes served the shard."""
     visited, conflicts = 1, int(len(find_servers(world)) > 1)
     if depth == 0 or conflicts:
         return visited, conflicts
-    # A lost reply and one that was never sent lead to the same world.
+    # Losing a reply that was never sent leads to the same world as delivering without a reply.
     before = world
     for step in list_steps(world):
         after = step(world)
@@ -521,7 +523,7 @@
 
 @pytest.mark.parametrize("start", STARTS)
 def test_every_interleaving_has_one_owner(start: collections.abc.Callable[[], World]) -> None:
-    """Guards against an order of claim, renewal, release and lost replies with two owners."""
+    """Guards against two owners after any order of claims, renewals, releases and lost replies."""
     visited, conflicts = explore(start(), DEPTH)
     print(f"{start.__name__} depth={DEPTH} visited={visited}")
     assert visited > 1000
@@ -529,23 +531,23 @@
 
 
 def keep_serving(state: lease.Node, now: float) -> lease.Node:
-    """Stand in for a lapse that leaves the holdings in service."""
+    """Replace ``lease.lapse`` by one that does not suspend the holdings."""
     return state
 
 
 def ignore_leases(*args: object, now: float, **others: object) -> float:
-    """Stand in for a claim that does not wait for the leases of the former coordinator."""
+    """Replace ``find_lease_bound`` by one that ignores leases of the former coordinator."""
     return now
 
 
 def accept_all(*args: object) -> bool:
-    """Stand in for a node that takes overtaken orders."""
+    """Replace ``lease.accepts`` by one that accepts outdated revokes and grants."""
     return True
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Broken:
-    """A rule that is left out, and the start from which that must show."""
+    """A function to break, and the start from which the exploration must find that."""
 
     module: object
     name: str
@@ -554,9 +556,9 @@
 
 
 def start_with_duplicate() -> World:
-    """A grant to c was sent twice, and the second copy is late; then c released the shard."""
+    """Start after c released the shard while a duplicate of an earlier grant is in transit."""
     a, b, c = NAMES
-    world = run_steps(make_world(), lambda w: beat_through(w, b), lambda w: beat_through(w, c))
+    world = run_steps(make_world(), lambda w: renew_lease(w, b), lambda w: renew_lease(w, c))
     late = message.Grant(
         term=identity.Term(1),
         holdings=[message.Holding(shard=SHARD, fence=identity.Fence(1))],
@@ -564,7 +566,7 @@
         incarnation=world.nodes[c].incarnation,
         sequence=0,
     )
-    world = run_steps(world, lambda w: lead(w, a, b), deliver_first, deliver_first)
+    world = run_steps(world, lambda w: run_coordinator(w, a, b), deliver_first, deliver_first)
     return send(world, Envelope(source=a, target=c, body=late))
 
 
@@ -577,14 +579,14 @@
 
 @pytest.mark.parametrize("broken", BROKEN, ids=lambda broken: broken.name)
 def test_exploration_finds_broken_rule(broken: Broken, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a check that stays green when a rule is left out."""
+    """Guards against an exploration that finds no conflict although a function is broken."""
     assert explore(broken.start(), BROKEN_DEPTH)[1] == 0
     monkeypatch.setattr(broken.module, broken.name, broken.stand_in)
     assert explore(broken.start(), BROKEN_DEPTH)[1] > 0
 
 
 class Terms(stateful.RuleBasedStateMachine):
-    """Random steps of three nodes; at most one may serve the shard, under rising tokens."""
+    """Random steps of three nodes. At most one may serve the shard, under rising fencing tokens."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -608,8 +610,8 @@
         self.take(begin_heartbeat(self.world, name))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def beat_through(self, name: identity.NodeId) -> None:
-        """Deliver a whole exchange ahead of older messages."""
+    def renew_lease(self, name: identity.NodeId) -> None:
+        """Deliver a heartbeat and its renewal ahead of older messages."""
         kept = self.world.sent
         self.take(begin_heartbeat(dataclasses.replace(self.world, sent=()), name))
         self.take(deliver(self.world, 0, False))
@@ -625,12 +627,12 @@
         self.take(claim(self.world, name))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def call_nodes(self, name: identity.NodeId) -> None:
-        self.take(call_nodes(self.world, name))
+    def send_follow(self, name: identity.NodeId) -> None:
+        self.take(send_follow(self.world, name))
 
     @stateful.rule(name=strategies.sampled_from(NAMES), owner=strategies.sampled_from(NAMES))
-    def lead(self, name: identity.NodeId, owner: identity.NodeId) -> None:
-        self.take(lead(self.world, name, owner))
+    def run_coordinator(self, name: identity.NodeId, owner: identity.NodeId) -> None:
+        self.take(run_coordinator(self.world, name, owner))
 
     @stateful.rule(index=strategies.integers(0, 5), is_reply_lost=strategies.booleans())
     def deliver(self, index: int, is_reply_lost: bool) -> None:
@@ -638,7 +640,7 @@
 
     @stateful.rule(count=strategies.integers(1, 8))
     def deliver_all(self, count: int) -> None:
-        """Deliver messages in order, so that whole exchanges happen often."""
+        """Deliver messages in order, so that complete exchanges are frequent."""
         for _ in range(count):
             self.take(deliver(self.world, 0, False))
 
