--- a/src/ebonyvalve/process/accounting.py
+++ b/src/ebonyvalve/process/accounting.py
@@ -5,7 +5,7 @@
 exp((t - landmark) / DECAY_S), and a read divides by the same factor for the present time.
 
 Hot keys are found with a Misra-Gries sketch that is pruned in batches. It holds at most
-``2 * KEY_COUNTERS`` keys of at most ``KEY_LENGTH`` characters, whatever the number of keys in use:
+``2 * KEY_COUNTERS`` keys of at most ``MAX_KEY_LENGTH`` characters, however many keys are in use:
 under 0.5 MB with ASCII keys of that length, under 0.1 MB with keys of 16 characters. The load of a
 key is never overestimated, and underestimated by at most 1 / (KEY_COUNTERS + 1) of the node's load.
 """
--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -613,7 +613,7 @@
 ) -> message.Renewal:
     """Return the renewal to send in reply to a heartbeat.
 
-    :param state: the coordinator, after :func:`hear`.
+    :param state: the coordinator, after :func:`handle_heartbeat`.
     :param heartbeat: the heartbeat.
     :param quarantine: the quarantined requests to distribute.
     """
--- a/src/ebonyvalve/process/handover.py
+++ b/src/ebonyvalve/process/handover.py
@@ -42,8 +42,8 @@
         if held is None:
             continue
         life_s = find_token_life(identity.split_shard(entry.shard)[0])
-        target = site.find_memory(here, entry.shard, held.fence, life_s=life_s)
-        token_memory.import_memory(target, entry, here.now())
+        memory = site.find_memory(here, entry.shard, held.fence, life_s=life_s)
+        token_memory.import_memory(memory, entry, here.now())
 
 
 def inherit(
@@ -64,17 +64,17 @@
     """
     service, _, key = identity.split_shard(recipient.shard)
     life_s = find_token_life(service)
-    known = site.find_memory(here, source.shard, source.fence, life_s=life_s)
+    source_memory = site.find_memory(here, source.shard, source.fence, life_s=life_s)
     if key is not None and source.shard != recipient.shard:
         accounting.forget_key(here.account, source.shard, key)
         here.memories[recipient.shard] = token_memory.split(
-            known, key=key, shard=recipient.shard, fence=recipient.fence, now=here.now()
+            source_memory, key=key, shard=recipient.shard, fence=recipient.fence, now=here.now()
         )
         return
-    moved = token_memory.export_memory(known, here.now())
-    token_memory.drop(known)
-    target = site.find_memory(here, recipient.shard, recipient.fence, life_s=life_s)
-    token_memory.import_memory(target, moved, here.now())
+    moved = token_memory.export_memory(source_memory, here.now())
+    token_memory.drop(source_memory)
+    recipient_memory = site.find_memory(here, recipient.shard, recipient.fence, life_s=life_s)
+    token_memory.import_memory(recipient_memory, moved, here.now())
 
 
 def forget(here: site.Site, shards: list[identity.ShardId]) -> None:
--- a/src/ebonyvalve/process/quarantine.py
+++ b/src/ebonyvalve/process/quarantine.py
@@ -59,9 +59,9 @@
     :param now: seconds on the node's clock.
     """
     return [
-        message.Quarantined(fingerprint=name, remaining_s=state.until[name] - now)
-        for name in sorted(state.unreported)
-        if state.until.get(name, now) > now
+        message.Quarantined(fingerprint=fingerprint, remaining_s=state.until[fingerprint] - now)
+        for fingerprint in sorted(state.unreported)
+        if state.until.get(fingerprint, now) > now
     ]
 
 
@@ -81,8 +81,8 @@
     :param now: seconds on the node's clock.
     """
     return [
-        message.Quarantined(fingerprint=name, remaining_s=until - now)
-        for name, until in state.until.items()
+        message.Quarantined(fingerprint=fingerprint, remaining_s=until - now)
+        for fingerprint, until in state.until.items()
         if until > now
     ]
 
@@ -113,16 +113,18 @@
     :param state: the node's quarantine.
     :param now: seconds on the node's clock.
     """
-    for name in [name for name, until in state.until.items() if until + QUARANTINE_S / 2 <= now]:
-        del state.until[name]
-        state.unreported.discard(name)
+    for fingerprint in [
+        other for other, until in state.until.items() if until + QUARANTINE_S / 2 <= now
+    ]:
+        del state.until[fingerprint]
+        state.unreported.discard(fingerprint)
 
 
-def _insert(state: Quarantine, name: identity.Fingerprint, until: float, now: float) -> None:
-    if name not in state.until and len(state.until) >= CAPACITY:
+def _insert(state: Quarantine, fingerprint: identity.Fingerprint, until: float, now: float) -> None:
+    if fingerprint not in state.until and len(state.until) >= CAPACITY:
         forget(state, now)
         if len(state.until) >= CAPACITY:
             first = min(state.until, key=lambda other: state.until[other])
             del state.until[first]
             state.unreported.discard(first)
-    state.until[name] = until
+    state.until[fingerprint] = until
--- a/src/ebonyvalve/process/straggler.py
+++ b/src/ebonyvalve/process/straggler.py
@@ -18,7 +18,7 @@
 PROBE_ONE_IN = 50
 # Bypassing more than this share of the targets would overload the others.
 MAX_BYPASSED = 0.5
-# Computing a quantile takes about 200 µs, recording a value 1 µs.
+# Quantiles are cached, because computing one takes about 200 µs and recording a value 1 µs.
 REFRESH_REPLIES = 256
 WINDOW_REPLIES = 4096
 
