--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -1,4 +1,9 @@
-"""Rules of a cell: its row, claims, members, and which shard may be granted to whom."""
+"""Decisions of a cell's coordinator and standbys, as pure functions of state, event and time.
+
+A cell is a group of nodes with one coordinator, which renews their leases, assigns shards to them
+and commits the assignments to the table. This module covers the rows in the table, claims of the
+cell, the consent of standbys, leases, and which shards to revoke, commit and grant.
+"""
 
 import collections.abc
 import dataclasses
@@ -17,19 +22,19 @@
 
 PAGE_PARTITIONS = 64
 MAX_STANDBYS = 2
-# A standby that has missed one request for consent, with the time of a slow reply, is replaced.
-# Its last consent still counts for another 100 ms, so renewals go on while the row is written.
+# A standby is replaced after missing one request for consent and the time of a slow reply. Its last
+# consent is valid for another 100 ms, so renewals continue while the row is written.
 STANDBY_SILENCE_S = 0.200
-# Two heartbeats lost: the nodes are out of reach of the coordinator.
+# After two lost heartbeats, a node counts as out of reach of the coordinator.
 NODE_SILENCE_S = 0.300
-# Reports in a row, from a node that is renewed, that its lease is not valid.
+# A node that reports this often in a row that its lease isn't valid doesn't receive its renewals.
 MAX_UNRECEIVED_RENEWALS = 3
-# Route and member versions of a term are above those of every earlier term.
+# The term is the high part of route and member versions, so they exceed those of earlier terms.
 TERM_SHIFT = 32
 
 
 class NodeInstance(msgspec.Struct, kw_only=True, frozen=True):
-    """A process that is named in the cell row."""
+    """One process of a node, as the cell row names it."""
 
     node: identity.NodeId
     incarnation: identity.Incarnation
@@ -37,7 +42,7 @@
 
 
 class CellRow(msgspec.Struct, kw_only=True, frozen=True):
-    """The row ``cell/{cell}``."""
+    """The row ``cell/{cell}``, which names the coordinator of a term and its standbys."""
 
     term: identity.Term
     coordinator: NodeInstance
@@ -53,7 +58,7 @@
 
 
 class PageRow(msgspec.Struct, kw_only=True, frozen=True):
-    """The row ``page/{service}/{n}``."""
+    """The row ``page/{service}/{n}`` with the assignments of up to 64 partitions."""
 
     entries: list[PageEntry] = []
 
@@ -68,18 +73,18 @@
 
 
 class HotRow(msgspec.Struct, kw_only=True, frozen=True):
-    """The row ``hot/{service}``."""
+    """The row ``hot/{service}`` with the assignments of a service's hot keys."""
 
     entries: list[HotEntry] = []
 
 
 class HeartbeatAnswer(enum.Enum):
-    """How the coordinator answers a heartbeat."""
+    """The coordinator's answer to a heartbeat."""
 
     RENEW = "renew"
-    # The standbys have not all consented, or a cell of several nodes has none.
+    # Not all standbys have consented, or the cell has several nodes but no standby.
     NO_CONSENT = "no-consent"
-    # The coordinator does not know what the node holds and has to ask.
+    # The coordinator does not know which shards the node holds and has to ask.
     COLLECT = "collect"
     # The lease of the node's previous process has not expired yet.
     OLD_INCARNATION = "old-incarnation"
@@ -88,12 +93,12 @@
     # The node has followed a higher term.
     SUPERSEDED = "superseded"
     # The node does not receive its renewals.
-    UNSEEN = "unseen"
+    UNRECEIVED = "unseen"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Holder:
-    """A node that may be serving a shard, and what it was last told of it."""
+    """What a node that may be serving a shard was last granted of it."""
 
     fence: identity.Fence
     excluded: frozenset[identity.KeyId] = frozenset()
@@ -103,38 +108,38 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Assignment:
-    """A shard: its committed owner, and everybody who may still be serving it."""
+    """A shard's committed owner and all nodes that may still be serving it."""
 
     owner: identity.NodeId = lease.NOBODY
     fence: identity.Fence = identity.Fence(0)
-    # The partition of a key that is a shard of its own.
+    # The partition of a key, if the shard is a key that was split off.
     parent: identity.ShardId | None = None
     holders: dict[identity.NodeId, Holder] = dataclasses.field(default_factory=dict)
     # The node that the shard is being moved to, and why.
     target: identity.NodeId | None = None
     reason: assignment.MoveReason | None = None
-    # Whether the shard may be granted under its committed fencing token: nobody has been granted
-    # it, or the former holder has handed over the token memory.
-    is_ready: bool = False
-    # The shard stays without a holder until then.
+    # Whether the shard may be granted under its committed fencing token: no node has been granted
+    # it yet, or its former holder has handed over the token memory.
+    is_grantable: bool = False
+    # The earliest time at which the shard may get a new holder.
     free_at_s: float = -math.inf
-    # The key went back into its partition; the entry remains until nobody holds it.
+    # The key was merged back into its partition; the entry remains until no node holds it.
     is_merged: bool = False
-    changed: int = 0
+    # The routes version of the last change.
+    changed_version: int = 0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NodeLease:
-    """A node's lease as the coordinator counts it."""
+    """A node's lease as the coordinator counts it, so that it expires later than at the node."""
 
     member: message.Member
     end_s: float
-    heard_at_s: float
-    # Consecutive heartbeats that reported no valid lease although the one before was answered by a
-    # renewal.
-    unseen: int = 0
+    last_heartbeat_at_s: float
+    # Consecutive heartbeats that reported no valid lease although the previous one was renewed.
+    unreceived: int = 0
     is_answered: bool = False
-    # Whether it has been renewed since its holdings were collected, or reported any.
+    # Whether the lease was renewed since the node's holdings were collected, or there were any.
     is_renewed: bool = False
     loads: list[message.ShardLoad] = dataclasses.field(default_factory=list)
     hot_keys: list[tuple[identity.ServiceId, identity.KeyId, float]] = dataclasses.field(
@@ -144,29 +149,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Coordinator:
-    """State of the coordinator. It is replaced, never changed."""
+    """State of the coordinator. It is replaced rather than changed in place."""
 
     cell: identity.CellId
-    seat: NodeInstance
+    instance: NodeInstance
     zone: identity.ZoneId
     row: CellRow
     # When the coordinator took up the role.
-    since_s: float
-    # Until then, nodes that have not answered may serve under leases of the former coordinator.
+    started_at_s: float
+    # Until this time, nodes that have not answered may serve under the former coordinator's leases.
     unknown_until_s: float
-    # Standbys of a write of the cell row that is under way or whose outcome is not known.
-    proposed: list[NodeInstance] = dataclasses.field(default_factory=list)
+    # Standbys in a write of the cell row whose outcome is not yet known.
+    proposed_standbys: list[NodeInstance] = dataclasses.field(default_factory=list)
     consents: dict[identity.NodeId, float] = dataclasses.field(default_factory=dict)
     leases: dict[identity.NodeId, NodeLease] = dataclasses.field(default_factory=dict)
     assignments: dict[identity.ShardId, Assignment] = dataclasses.field(default_factory=dict)
-    # By node, the digest of what it is counted to hold.
+    # By node, the digest of the holdings that the coordinator attributes to it.
     digests: dict[identity.NodeId, int] = dataclasses.field(default_factory=dict)
-    # Keys that were shards of their own, with the routes version of their removal.
-    removed: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
-    splits: dict[identity.ShardId, identity.ShardId] = dataclasses.field(default_factory=dict)
-    merges: frozenset[identity.ShardId] = frozenset()
+    # Keys that were merged back into their partition, with the routes version of the merge.
+    removed_keys: dict[identity.ShardId, int] = dataclasses.field(default_factory=dict)
+    pending_splits: dict[identity.ShardId, identity.ShardId] = dataclasses.field(
+        default_factory=dict
+    )
+    pending_merges: frozenset[identity.ShardId] = frozenset()
     # Versions of the rows that the coordinator has read or written.
-    versions: dict[str, int] = dataclasses.field(default_factory=dict)
+    row_versions: dict[str, int] = dataclasses.field(default_factory=dict)
     routes_version: int = 0
     members_version: int = 0
     config_version: identity.ConfigVersion = identity.ConfigVersion(0)
@@ -177,7 +184,7 @@
     """A committed change of a shard's assignment."""
 
     shard: identity.ShardId
-    before: identity.NodeId
+    previous_owner: identity.NodeId
     owner: identity.NodeId
     fence: identity.Fence
     reason: assignment.MoveReason
@@ -188,7 +195,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Transaction:
-    """One conditional write of the table and what it changes."""
+    """A conditional write to the table and the changes that it commits."""
 
     expected: dict[str, int]
     writes: dict[str, bytes | None]
@@ -197,13 +204,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Actions:
-    """What the coordinator has to send now."""
+    """The revokes and grants that the coordinator has to send now."""
 
     revokes: list[tuple[identity.NodeId, identity.ShardId]]
     grants: dict[identity.NodeId, list[message.Holding]]
 
 
 T = typing.TypeVar("T")
+# Returns, by service, for how many seconds requests of a lost owner may still run.
 FindGrace = collections.abc.Callable[[identity.ServiceId], float]
 FindParent = collections.abc.Callable[[identity.ShardId], identity.ShardId]
 
@@ -228,7 +236,7 @@
 
 
 def name_assignment_row(shard: identity.ShardId) -> str:
-    """Return the key of the row that holds a shard's assignment.
+    """Return the key of the row that contains a shard's assignment.
 
     :param shard: a partition or a key.
     """
@@ -255,7 +263,7 @@
 
 
 def read_members(rows: collections.abc.Mapping[str, platform.Row]) -> list[message.Member]:
-    """Return the nodes that have announced themselves; a row that can't be read names none.
+    """Return the nodes that have announced themselves. Unreadable rows are logged and skipped.
 
     :param rows: the rows by name.
     """
@@ -263,9 +271,10 @@
     for name, row in rows.items():
         decoded = decoding.decode(row.value, message.Member, find_member_fault)
         fault = "" if isinstance(decoded, result.Success) else decoded.failure()
-        # An entry that names another node would tell that this one has ended.
+        # The announcement of a later process shows that a node's process has ended, so a row with
+        # another node's announcement must not be used.
         if not fault and name_node_row(decoded.unwrap().node) != name:
-            fault = "the announcement is of another node"
+            fault = "the announcement names another node"
         if fault:
             decision.record(log, logging.ERROR, "row-unreadable", row=name, cause=fault)
         else:
@@ -274,14 +283,18 @@
 
 
 def find_member_fault(member: message.Member) -> str:
-    """Return what is wrong with a node's announcement, or an empty text.
+    """Return what is wrong with a node's announcement, or an empty string.
 
     :param member: the announcement.
     """
     for address in (member.peer_address, member.hop_address):
         if not decoding.is_address(address):
             return f"address {address!r} is not host:port"
-    return "" if 0 <= member.slots <= decoding.MAX_SLOTS else f"{member.slots} slots"
+    return (
+        ""
+        if 0 <= member.slots <= decoding.MAX_SLOTS
+        else f"number of slots {member.slots} is out of range"
+    )
 
 
 def _decode(value: bytes, kind: type[T]) -> T:
@@ -297,24 +310,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Standby:
-    """What a node has promised to coordinators."""
+    """A node's promise to coordinators not to claim the cell before a certain time."""
 
     promised_until_s: float = -math.inf
-    # A claim whose outcome is not known may have taken effect; no consent is given meanwhile.
+    # No consent is given while the outcome of a claim is unknown, because it may have taken effect.
     is_claiming: bool = False
 
 
 def give_consent(
-    standby: Standby, *, seen: identity.Term, asked: identity.Term, now: float
+    standby: Standby, *, followed_term: identity.Term, requested_term: identity.Term, now: float
 ) -> Standby | None:
-    """Return the state after a consent, or ``None`` if it is refused.
+    """Return the state after giving consent, or ``None`` if consent is refused.
 
     :param standby: the state.
-    :param seen: the highest term that the node has followed.
-    :param asked: the term of the coordinator that asks.
+    :param followed_term: the highest term that the node has followed.
+    :param requested_term: the term of the coordinator that asks for consent.
     :param now: the time in seconds at which the request was received.
     """
-    if standby.is_claiming or asked < seen:
+    if standby.is_claiming or requested_term < followed_term:
         return None
     return dataclasses.replace(
         standby, promised_until_s=max(standby.promised_until_s, lease.compute_promise_end(now))
@@ -324,21 +337,21 @@
 def find_lease_bound(
     row: CellRow | None,
     *,
-    seat: NodeInstance,
+    instance: NodeInstance,
     standby: Standby,
     announced: dict[identity.NodeId, identity.Incarnation],
     read_at_s: float,
     now: float,
 ) -> float | None:
-    """Return when every lease under a cell row has expired if it is claimed now.
+    """Return the time at which every lease under a cell row has expired if it is claimed now.
 
-    ``None`` means that the row must not be claimed. A standby waits for the end of its promise.
-    Another process may claim if a process named in the row is known to have ended, because then no
-    lease is renewed once the last consent has run out. It has ended if the claimant listens on its
-    address, or if a later process announced itself under its node id.
+    ``None`` means that the row must not be claimed. A standby may claim after the end of its
+    promise. A process that isn't named in the row may claim if one that is has ended, because no
+    lease is renewed then once the last consent has run out. A process has ended if the claimant
+    listens on its address, or if a later process announced itself under its node id.
 
     :param row: the cell row, or ``None`` if there is none.
-    :param seat: the claimant.
+    :param instance: the claimant.
     :param standby: what the claimant has promised.
     :param announced: incarnations by node, from the announcements.
     :param read_at_s: when the row was read, in seconds.
@@ -348,54 +361,56 @@
         return None
     if row is None:
         return now
-    if row.coordinator == seat:
+    if row.coordinator == instance:
         return lease.compute_lease_end(now)
-    if seat in row.standbys:
+    if instance in row.standbys:
         return lease.compute_lease_end(max(standby.promised_until_s, read_at_s))
-    if any(_has_ended(named, seat, announced) for named in [row.coordinator, *row.standbys]):
+    if any(_has_ended(named, instance, announced) for named in [row.coordinator, *row.standbys]):
         return lease.compute_lease_end(lease.compute_promise_end(now))
     return None
 
 
 def _has_ended(
-    named: NodeInstance, seat: NodeInstance, announced: dict[identity.NodeId, identity.Incarnation]
+    named: NodeInstance,
+    instance: NodeInstance,
+    announced: dict[identity.NodeId, identity.Incarnation],
 ) -> bool:
-    if named.incarnation == seat.incarnation:
+    if named.incarnation == instance.incarnation:
         return False
-    if named.address == seat.address:
+    if named.address == instance.address:
         return True
     return announced.get(named.node, named.incarnation) != named.incarnation
 
 
-def claim(row: CellRow | None, seat: NodeInstance, seen: identity.Term) -> CellRow:
+def claim(row: CellRow | None, instance: NodeInstance, followed_term: identity.Term) -> CellRow:
     """Return the cell row that a claimant writes.
 
     :param row: the row that it replaces.
-    :param seat: the claimant.
-    :param seen: the highest term that it has followed.
+    :param instance: the claimant.
+    :param followed_term: the highest term that it has followed.
     """
     if row is None:
-        return CellRow(term=identity.Term(seen + 1), coordinator=seat)
-    others = [named for named in row.standbys if named.node != seat.node]
-    term = identity.Term(max(row.term, seen) + 1)
-    return CellRow(term=term, coordinator=seat, standbys=others)
+        return CellRow(term=identity.Term(followed_term + 1), coordinator=instance)
+    others = [named for named in row.standbys if named.node != instance.node]
+    term = identity.Term(max(row.term, followed_term) + 1)
+    return CellRow(term=term, coordinator=instance, standbys=others)
 
 
-def hand_over(row: CellRow, seat: NodeInstance) -> CellRow:
-    """Return the cell row by which a coordinator that stops names its successor.
+def hand_over(row: CellRow, instance: NodeInstance) -> CellRow:
+    """Return the cell row in which a stopping coordinator names its successor.
 
     :param row: the row that it replaces.
-    :param seat: one of its standbys.
+    :param instance: one of its standbys.
     """
-    others = [named for named in row.standbys if named.node != seat.node]
-    return CellRow(term=identity.Term(row.term + 1), coordinator=seat, standbys=others)
+    others = [named for named in row.standbys if named.node != instance.node]
+    return CellRow(term=identity.Term(row.term + 1), coordinator=instance, standbys=others)
 
 
 def open_coordinator(
     row: CellRow,
     *,
     cell: identity.CellId,
-    seat: NodeInstance,
+    instance: NodeInstance,
     zone: identity.ZoneId,
     version: int,
     unknown_until_s: float,
@@ -405,7 +420,7 @@
 
     :param row: the cell row as committed.
     :param cell: the cell.
-    :param seat: the coordinator.
+    :param instance: the coordinator.
     :param zone: its zone.
     :param version: the version of the cell row.
     :param unknown_until_s: from :func:`find_lease_bound`.
@@ -414,59 +429,59 @@
     base = row.term << TERM_SHIFT
     return Coordinator(
         cell=cell,
-        seat=seat,
+        instance=instance,
         zone=zone,
         row=row,
-        since_s=now,
+        started_at_s=now,
         unknown_until_s=unknown_until_s,
-        versions={name_cell_row(cell): version},
+        row_versions={name_cell_row(cell): version},
         routes_version=base,
         members_version=base,
     )
 
 
 def load_rows(
-    state: Coordinator, rows: dict[str, tuple[bytes, int]], wait: FindGrace
+    state: Coordinator, rows: dict[str, tuple[bytes, int]], find_grace: FindGrace
 ) -> Coordinator:
-    """Take assignments as they are found in the table.
+    """Update the assignments from rows of the table.
 
-    After a claim nobody is known to hold them, and they stay blocked until the leases of the former
-    coordinator have expired. Later, a row differs from the coordinator's view only because of a
-    write of its own whose reply was lost; what that write assigned has not been granted.
+    After a claim, the holders of the shards are unknown, and no shard is granted until the leases
+    of the former coordinator have expired. Later, a row differs from the coordinator's state only
+    if the reply to one of its own writes was lost; what that write assigned was not yet granted.
 
     :param state: the coordinator.
     :param rows: values and versions of ``page/`` and ``hot/`` rows.
-    :param wait: by service, how long a shard stays free after a loss, in seconds.
+    :param find_grace: returns, by service, the grace period in seconds after the loss of an owner.
     """
     changes: dict[identity.ShardId, Assignment] = {}
     for name, (value, _) in rows.items():
         service = identity.ServiceId(name.split("/")[1])
         for shard, found in _list_entries(name, service, value):
-            known = state.assignments.get(shard)
-            if known is None:
-                free_at = state.unknown_until_s + wait(service)
+            entry = state.assignments.get(shard)
+            if entry is None:
+                free_at = state.unknown_until_s + find_grace(service)
                 changes[shard] = dataclasses.replace(found, free_at_s=free_at)
-            elif (known.owner, known.fence) != (found.owner, found.fence):
+            elif (entry.owner, entry.fence) != (found.owner, found.fence):
                 changes[shard] = dataclasses.replace(
-                    known,
+                    entry,
                     owner=found.owner,
                     fence=found.fence,
                     parent=found.parent,
-                    target=None if known.target == found.owner else known.target,
-                    is_ready=True,
+                    target=None if entry.target == found.owner else entry.target,
+                    is_grantable=True,
                     is_merged=False,
                 )
         if name.startswith("hot/"):
             listed = {shard for shard, _ in _list_entries(name, service, value)}
-            for shard, known in state.assignments.items():
+            for shard, entry in state.assignments.items():
                 if (
                     name_assignment_row(shard) == name
                     and shard not in listed
-                    and not known.is_merged
+                    and not entry.is_merged
                 ):
-                    changes[shard] = dataclasses.replace(known, is_merged=True, target=None)
-    versions = {**state.versions, **{name: version for name, (_, version) in rows.items()}}
-    return _put(dataclasses.replace(state, versions=versions), changes)
+                    changes[shard] = dataclasses.replace(entry, is_merged=True, target=None)
+    versions = {**state.row_versions, **{name: version for name, (_, version) in rows.items()}}
+    return _put_assignments(dataclasses.replace(state, row_versions=versions), changes)
 
 
 def _list_entries(
@@ -499,24 +514,30 @@
     :param state: the coordinator.
     :param shards: the partitions of every keyed service.
     """
-    return _put(state, {shard: Assignment() for shard in shards if shard not in state.assignments})
+    return _put_assignments(
+        state, {shard: Assignment() for shard in shards if shard not in state.assignments}
+    )
 
 
 # Members and leases
 
 
 def list_required(state: Coordinator) -> list[NodeInstance]:
-    """Return the standbys whose consent a renewal needs.
+    """Return the standbys whose consent is needed for a renewal.
 
-    While the outcome of a write of the cell row is open, both its old and its new standbys count.
+    While the outcome of a write of the cell row is unknown, its old and its new standbys count.
 
     :param state: the coordinator.
     """
-    return list({seat.node: seat for seat in [*state.proposed, *state.row.standbys]}.values())
+    return list(
+        {
+            instance.node: instance for instance in [*state.proposed_standbys, *state.row.standbys]
+        }.values()
+    )
 
 
 def record_consent(state: Coordinator, node: identity.NodeId, sent_at_s: float) -> Coordinator:
-    """Count a consent from the time at which it was asked for.
+    """Record a consent, which is valid from the time at which it was requested.
 
     :param state: the coordinator.
     :param node: the standby.
@@ -527,42 +548,46 @@
 
 
 def handle_heartbeat(
-    state: Coordinator, beat: message.Heartbeat, now: float
+    state: Coordinator, heartbeat: message.Heartbeat, now: float
 ) -> tuple[Coordinator, HeartbeatAnswer]:
-    """Decide on a heartbeat; if the answer is ``RENEW``, the lease is counted from now.
+    """Decide how to answer a heartbeat. If the answer is ``RENEW``, the lease is extended.
 
     :param state: the coordinator.
-    :param beat: the heartbeat.
+    :param heartbeat: the heartbeat.
     :param now: the time in seconds.
     """
-    node = beat.member.node
-    known = state.leases.get(node)
-    if beat.term > state.row.term:
+    node = heartbeat.member.node
+    node_lease = state.leases.get(node)
+    if heartbeat.term > state.row.term:
         return state, HeartbeatAnswer.SUPERSEDED
-    if known is not None and known.member.incarnation != beat.member.incarnation:
+    if node_lease is not None and node_lease.member.incarnation != heartbeat.member.incarnation:
         return state, (
-            HeartbeatAnswer.OLD_INCARNATION if now < known.end_s else HeartbeatAnswer.COLLECT
+            HeartbeatAnswer.OLD_INCARNATION if now < node_lease.end_s else HeartbeatAnswer.COLLECT
         )
-    if known is None or now >= known.end_s or beat.term < state.row.term:
+    if node_lease is None or now >= node_lease.end_s or heartbeat.term < state.row.term:
         return state, HeartbeatAnswer.COLLECT
-    unseen = 0 if beat.is_live else known.unseen + int(known.is_answered)
-    heard = dataclasses.replace(
-        known, member=beat.member, heard_at_s=now, unseen=unseen, is_answered=False
+    unreceived = 0 if heartbeat.is_live else node_lease.unreceived + int(node_lease.is_answered)
+    updated = dataclasses.replace(
+        node_lease,
+        member=heartbeat.member,
+        last_heartbeat_at_s=now,
+        unreceived=unreceived,
+        is_answered=False,
     )
-    state = _put_lease(state, heard)
-    if beat.config_version > state.config_version:
+    state = _put_lease(state, updated)
+    if heartbeat.config_version > state.config_version:
         return state, HeartbeatAnswer.BEHIND_CONFIG
-    if unseen >= MAX_UNRECEIVED_RENEWALS:
-        return state, HeartbeatAnswer.UNSEEN
+    if unreceived >= MAX_UNRECEIVED_RENEWALS:
+        return state, HeartbeatAnswer.UNRECEIVED
     if not may_renew(state, node, now):
         return state, HeartbeatAnswer.NO_CONSENT
     renewed = dataclasses.replace(
-        heard,
-        end_s=max(heard.end_s, lease.compute_lease_end(now)),
+        updated,
+        end_s=max(updated.end_s, lease.compute_lease_end(now)),
         is_renewed=True,
         is_answered=True,
-        loads=beat.loads or heard.loads,
-        hot_keys=beat.hot_keys or heard.hot_keys,
+        loads=heartbeat.loads or updated.loads,
+        hot_keys=heartbeat.hot_keys or updated.hot_keys,
     )
     return _put_lease(state, renewed), HeartbeatAnswer.RENEW
 
@@ -570,49 +595,51 @@
 def may_renew(state: Coordinator, node: identity.NodeId, now: float) -> bool:
     """Return whether the coordinator may renew a node's lease.
 
-    Without a standby only the coordinator's own node is renewed: nobody else could tell when the
-    last lease of a lost coordinator ends.
+    Without a standby, only the coordinator's own node is renewed: if the coordinator were lost, no
+    node would know when the last of its leases ends.
 
     :param state: the coordinator.
     :param node: the node.
     :param now: the time in seconds.
     """
     required = list_required(state)
-    if not required and node != state.seat.node:
+    if not required and node != state.instance.node:
         return False
-    return lease.may_renew(state.consents, [seat.node for seat in required], now)
+    return lease.may_renew(state.consents, [instance.node for instance in required], now)
 
 
 def build_renewal(
-    state: Coordinator, beat: message.Heartbeat, quarantine: list[message.Quarantined]
+    state: Coordinator, heartbeat: message.Heartbeat, quarantine: list[message.Quarantined]
 ) -> message.Renewal:
-    """Return the renewal that answers a heartbeat.
+    """Return the renewal to send in reply to a heartbeat.
 
-    :param state: the coordinator, after :func:`hear`.
-    :param beat: the heartbeat.
-    :param quarantine: the entries that every node has to know.
+    :param state: the coordinator, after :func:`handle_heartbeat`.
+    :param heartbeat: the heartbeat.
+    :param quarantine: the quarantined requests to distribute.
     """
-    is_new = beat.members_version != state.members_version
-    members = [known.member for known in state.leases.values()] if is_new else []
+    is_new = heartbeat.members_version != state.members_version
+    members = [node_lease.member for node_lease in state.leases.values()] if is_new else []
     return message.Renewal(
         term=state.row.term,
         lease_s=lease.LEASE_S,
-        coordinator=state.seat.node,
+        coordinator=state.instance.node,
         config_version=state.config_version,
         routes_version=state.routes_version,
-        routes=list_routes(state, beat.routes_version),
+        routes=list_routes(state, heartbeat.routes_version),
         members_version=state.members_version,
         members=members,
         quarantine=quarantine,
-        holdings_digest=_confirm(state, beat.member.node) if beat.is_suspended else None,
+        holdings_digest=(
+            _confirm_holdings(state, heartbeat.member.node) if heartbeat.is_suspended else None
+        ),
     )
 
 
-def _confirm(state: Coordinator, node: identity.NodeId) -> int | None:
-    """Return the digest that confirms suspended holdings, or ``None``.
+def _confirm_holdings(state: Coordinator, node: identity.NodeId) -> int | None:
+    """Return the digest that confirms a node's suspended holdings, or ``None``.
 
-    Only what the node holds alone, under the committed fencing token, may be served again. After a
-    claim, another node that has not answered yet may hold anything else.
+    The holdings may be served again only if the node is the sole holder of each, under the
+    committed fencing token. After a claim, nodes that have not answered yet may hold anything else.
     """
     for entry in state.assignments.values():
         holder = entry.holders.get(node)
@@ -624,23 +651,24 @@
     return state.digests.get(node, 0)
 
 
-def list_routes(state: Coordinator, seen: int) -> list[message.Route]:
+def list_routes(state: Coordinator, known_version: int) -> list[message.Route]:
     """Return the routes that changed since a version.
 
     :param state: the coordinator.
-    :param seen: the routes version that the node has; a version of an earlier term yields all.
+    :param known_version: the routes version that the node has; with one of an earlier term, all
+        routes are returned.
     """
-    if seen == state.routes_version:
+    if known_version == state.routes_version:
         return []
     routes = [
         message.Route(shard=shard, owner=entry.owner, fence=entry.fence)
         for shard, entry in state.assignments.items()
-        if entry.changed > seen and entry.fence > 0 and not entry.is_merged
+        if entry.changed_version > known_version and entry.fence > 0 and not entry.is_merged
     ]
     gone = [
         message.Route(shard=shard, owner=lease.NOBODY, fence=identity.Fence(0))
-        for shard, changed in state.removed.items()
-        if changed > seen
+        for shard, changed in state.removed_keys.items()
+        if changed > known_version
     ]
     return routes + gone
 
@@ -651,25 +679,25 @@
     find_parent: FindParent,
     now: float,
 ) -> Coordinator:
-    """Take what a node reports to hold.
+    """Record the shards that a node reports to hold.
 
-    A node that reports a shard may be serving it. Shards that it should not hold are revoked by
-    :func:`list_actions`. Until then it counts as their holder, so nobody else is granted them.
+    The node may be serving them. Those that it should not hold are revoked by
+    :func:`list_actions`; until then it counts as their holder, and they are granted to no other.
 
     :param state: the coordinator.
-    :param following: the node's answer.
+    :param following: the node's report.
     :param find_parent: returns the partition of a key's shard.
     :param now: the time in seconds.
     """
     node = following.member.node
     end_s = max(lease.compute_lease_end(now), state.unknown_until_s)
-    known = NodeLease(
+    node_lease = NodeLease(
         member=following.member,
         end_s=end_s,
-        heard_at_s=now,
+        last_heartbeat_at_s=now,
         is_renewed=bool(following.holdings),
     )
-    state = _put_lease(state, known)
+    state = _put_lease(state, node_lease)
     changes: dict[identity.ShardId, Assignment] = {}
     for holding in following.holdings:
         entry = state.assignments.get(holding.shard)
@@ -686,52 +714,54 @@
         changes[holding.shard] = dataclasses.replace(
             entry,
             holders={**entry.holders, node: holder},
-            # The node did not receive the committed fencing token and now refuses it from the
-            # former coordinator, so nobody has served under it.
-            is_ready=entry.is_ready or (is_owner and holding.fence < entry.fence),
+            # The node has not received the committed fencing token, and refuses it from the former
+            # coordinator by now, so no request was served under it.
+            is_grantable=entry.is_grantable or (is_owner and holding.fence < entry.fence),
         )
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def expire(
-    state: Coordinator, wait: FindGrace, now: float
+    state: Coordinator, find_grace: FindGrace, now: float
 ) -> tuple[Coordinator, list[identity.NodeId]]:
-    """Drop nodes whose lease has provably expired, and free what they held.
+    """Remove nodes whose lease has expired, and return the state and the removed nodes.
+
+    Their shards become free after the grace period of the service.
 
     :param state: the coordinator.
-    :param wait: by service, how long a shard stays free after a loss, in seconds.
+    :param find_grace: returns, by service, the grace period in seconds after the loss of an owner.
     :param now: the time in seconds.
     """
-    lost = [node for node, known in state.leases.items() if now >= known.end_s]
+    lost = [node for node, node_lease in state.leases.items() if now >= node_lease.end_s]
     for node in lost:
-        state = _drop_node(state, node, wait)
+        state = _drop_node(state, node, find_grace)
     return state, lost
 
 
-def _drop_node(state: Coordinator, node: identity.NodeId, wait: FindGrace) -> Coordinator:
+def _drop_node(state: Coordinator, node: identity.NodeId, find_grace: FindGrace) -> Coordinator:
     end_s = state.leases[node].end_s
-    leases = {other: known for other, known in state.leases.items() if other != node}
-    state = _put_members(dataclasses.replace(state, leases=leases))
+    leases = {other: node_lease for other, node_lease in state.leases.items() if other != node}
+    state = _increment_members_version(dataclasses.replace(state, leases=leases))
     changes = {}
     for shard, entry in state.assignments.items():
         if entry.target == node:
             entry = dataclasses.replace(entry, target=None, reason=None)
             changes[shard] = entry
         if node in entry.holders:
-            holders = {other: held for other, held in entry.holders.items() if other != node}
+            holders = {other: holder for other, holder in entry.holders.items() if other != node}
             service = identity.split_shard(shard)[0]
-            free_at = max(entry.free_at_s, end_s + wait(service))
+            free_at = max(entry.free_at_s, end_s + find_grace(service))
             changes[shard] = dataclasses.replace(
-                entry, holders=holders, free_at_s=free_at, is_ready=False
+                entry, holders=holders, free_at_s=free_at, is_grantable=False
             )
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def is_drained(state: Coordinator, node: identity.NodeId) -> bool:
-    """Return whether a node that stops has nothing left.
+    """Return whether a stopping node has no shards left.
 
-    For the coordinator's own node, every move must be finished as well, because its successor does
-    not have the token memories that travel with them.
+    For the coordinator's own node, every move must be finished as well, because the coordinator
+    keeps the token memories of moving shards, and its successor does not get them.
 
     :param state: the coordinator.
     :param node: the node.
@@ -739,10 +769,10 @@
     entries = state.assignments.values()
     if any(node == entry.owner or node in entry.holders for entry in entries):
         return False
-    if node != state.seat.node:
+    if node != state.instance.node:
         return True
     return all(
-        entry.target is None and all(held.is_acked for held in entry.holders.values())
+        entry.target is None and all(holder.is_acked for holder in entry.holders.values())
         for entry in entries
     )
 
@@ -754,10 +784,10 @@
     :param node: the node.
     :param now: the time in seconds.
     """
-    known = state.leases.get(node)
-    if known is None or not known.is_renewed:
+    node_lease = state.leases.get(node)
+    if node_lease is None or not node_lease.is_renewed:
         return False
-    return now < known.end_s and known.unseen < MAX_UNRECEIVED_RENEWALS
+    return now < node_lease.end_s and node_lease.unreceived < MAX_UNRECEIVED_RENEWALS
 
 
 def should_step_down(state: Coordinator, now: float) -> bool:
@@ -766,37 +796,41 @@
     :param state: the coordinator.
     :param now: the time in seconds.
     """
-    return _has_lost_most(state, now, NODE_SILENCE_S)
+    return _is_majority_silent(state, now, NODE_SILENCE_S)
 
 
-def _has_lost_most(state: Coordinator, now: float, silence_s: float) -> bool:
-    silent = [known for known in state.leases.values() if now - known.heard_at_s > silence_s]
+def _is_majority_silent(state: Coordinator, now: float, silence_s: float) -> bool:
+    silent = [
+        node_lease
+        for node_lease in state.leases.values()
+        if now - node_lease.last_heartbeat_at_s > silence_s
+    ]
     return 2 * len(silent) > len(state.leases)
 
 
 def choose_standbys(state: Coordinator, now: float) -> list[NodeInstance]:
     """Return the standbys that the cell row should name.
 
-    Standbys that answer stay. Others are added from zones without coordinator or standby; a node of
-    the coordinator's own zone is taken only if there is no other. A coordinator that hears less
-    than half of the nodes replaces none, because it is about to step down and only the standbys can
-    claim the cell then.
+    Standbys that answer are kept. Others are added from zones without a coordinator or standby; a
+    node of the coordinator's own zone is chosen only if there is no other. A coordinator that hears
+    from less than half of the nodes replaces no standby: it is about to step down, and then only
+    the standbys can claim the cell.
 
     :param state: the coordinator.
     :param now: the time in seconds.
     """
-    if _has_lost_most(state, now, STANDBY_SILENCE_S):
+    if _is_majority_silent(state, now, STANDBY_SILENCE_S):
         return state.row.standbys
-    kept = [seat for seat in state.row.standbys if not _is_silent(state, seat, now)]
-    zones = {state.zone} | {_find_zone(state, seat.node) for seat in kept}
-    named = {seat.node for seat in kept}
+    kept = [instance for instance in state.row.standbys if not _is_silent(state, instance, now)]
+    zones = {state.zone} | {_find_zone(state, instance.node) for instance in kept}
+    named = {instance.node for instance in kept}
     spare = [
-        known.member
-        for node, known in sorted(state.leases.items())
+        node_lease.member
+        for node, node_lease in sorted(state.leases.items())
         if node not in named
-        and node != state.seat.node
-        and not known.member.is_leaving
-        and now - known.heard_at_s <= STANDBY_SILENCE_S
+        and node != state.instance.node
+        and not node_lease.member.is_leaving
+        and now - node_lease.last_heartbeat_at_s <= STANDBY_SILENCE_S
     ]
     for member in sorted(spare, key=lambda member: member.zone == state.zone):
         if len(kept) >= MAX_STANDBYS or (member.zone in zones and kept):
@@ -807,7 +841,7 @@
 
 
 def make_instance(member: message.Member) -> NodeInstance:
-    """Return how the cell row names a node.
+    """Return the entry of a node in the cell row.
 
     :param member: the node.
     """
@@ -816,40 +850,42 @@
     )
 
 
-def propose_standbys(state: Coordinator, seats: list[NodeInstance]) -> tuple[Coordinator, CellRow]:
-    """Return the state during a write of the cell row, and the row.
+def propose_standbys(
+    state: Coordinator, standbys: list[NodeInstance]
+) -> tuple[Coordinator, CellRow]:
+    """Return the state during a write of the cell row, and the row to write.
 
     :param state: the coordinator.
-    :param seats: the new standbys; each must have consented already.
+    :param standbys: the new standbys; each must have consented already.
     """
-    row = CellRow(term=state.row.term, coordinator=state.row.coordinator, standbys=seats)
-    return dataclasses.replace(state, proposed=seats), row
+    row = CellRow(term=state.row.term, coordinator=state.row.coordinator, standbys=standbys)
+    return dataclasses.replace(state, proposed_standbys=standbys), row
 
 
 def record_cell_row(state: Coordinator, row: CellRow, version: int) -> Coordinator:
-    """Take the cell row as committed or as read back; no write of it is under way.
+    """Record the cell row as committed or as read back, when no write of it is in flight.
 
     :param state: the coordinator.
     :param row: the row.
     :param version: its version.
     """
-    versions = {**state.versions, name_cell_row(state.cell): version}
-    return dataclasses.replace(state, row=row, proposed=[], versions=versions)
+    versions = {**state.row_versions, name_cell_row(state.cell): version}
+    return dataclasses.replace(state, row=row, proposed_standbys=[], row_versions=versions)
 
 
-def _is_silent(state: Coordinator, seat: NodeInstance, now: float) -> bool:
-    known = state.leases.get(seat.node)
-    if known is not None and known.member.incarnation != seat.incarnation:
+def _is_silent(state: Coordinator, instance: NodeInstance, now: float) -> bool:
+    node_lease = state.leases.get(instance.node)
+    if node_lease is not None and node_lease.member.incarnation != instance.incarnation:
         return True
-    if known is not None and known.member.is_leaving:
+    if node_lease is not None and node_lease.member.is_leaving:
         return True
-    asked_at = state.consents.get(seat.node, -math.inf) - lease.CONSENT_S
-    return now > max(asked_at, state.since_s) + STANDBY_SILENCE_S
+    asked_at = state.consents.get(instance.node, -math.inf) - lease.CONSENT_S
+    return now > max(asked_at, state.started_at_s) + STANDBY_SILENCE_S
 
 
 def _find_zone(state: Coordinator, node: identity.NodeId) -> identity.ZoneId:
-    known = state.leases.get(node)
-    return known.member.zone if known is not None else identity.ZoneId("")
+    node_lease = state.leases.get(node)
+    return node_lease.member.zone if node_lease is not None else identity.ZoneId("")
 
 
 # Assignment
@@ -858,32 +894,38 @@
 def build_view(
     state: Coordinator, shards: collections.abc.Container[identity.ShardId], now: float
 ) -> assignment.PlacementView:
-    """Return what placement may consider.
+    """Return the input of placement.
 
-    A shard that is being moved is shown at its target, and one whose owner was lost without owner.
+    The owner of a moving shard is the node that it moves to; one whose owner was lost has none.
 
     :param state: the coordinator.
     :param shards: the partitions of the configuration in force.
     :param now: the time in seconds.
     """
     members = {
-        node: known.member for node, known in state.leases.items() if is_member(state, node, now)
+        node: node_lease.member
+        for node, node_lease in state.leases.items()
+        if is_member(state, node, now)
     }
     owners: dict[identity.ShardId, identity.NodeId | None] = {}
     for shard, entry in state.assignments.items():
         if entry.is_merged or (entry.parent or shard) not in shards:
             continue
         owner = entry.target if entry.target is not None else entry.owner
-        is_held = entry.target is not None or entry.is_ready or bool(entry.holders)
+        is_held = entry.target is not None or entry.is_grantable or bool(entry.holders)
         owners[shard] = owner if owner in members and is_held else None
     return assignment.PlacementView(
         members=members,
         owners=owners,
-        loads={entry.shard: entry.load for known in state.leases.values() for entry in known.loads},
+        loads={
+            entry.shard: entry.load
+            for node_lease in state.leases.values()
+            for entry in node_lease.loads
+        },
         hot_keys={
             identity.name_key(service, key): share
-            for known in state.leases.values()
-            for service, key, share in known.hot_keys
+            for node_lease in state.leases.values()
+            for service, key, share in node_lease.hot_keys
         },
         now_s=now,
     )
@@ -892,7 +934,7 @@
 def apply_plan(
     state: Coordinator, plan: assignment.Plan, find_parent: FindParent, now: float
 ) -> Coordinator:
-    """Note the moves, splits and merges of a plan that can be carried out.
+    """Start the moves, splits and merges of a plan that are possible.
 
     :param state: the coordinator.
     :param plan: the plan.
@@ -907,17 +949,19 @@
         entry = state.assignments.get(move.shard)
         if entry is None or entry.target is not None or move.shard in pending:
             continue
-        if not entry.holders and not entry.is_ready and now < entry.free_at_s:
-            # Its owner may still answer and keep it.
+        if not entry.holders and not entry.is_grantable and now < entry.free_at_s:
+            # The owner may still report that it holds the shard, and keep it.
             continue
-        is_idle = move.target == entry.owner and (entry.is_ready or bool(entry.holders))
+        is_idle = move.target == entry.owner and (entry.is_grantable or bool(entry.holders))
         if is_member(state, move.target, now) and not is_idle and not entry.is_merged:
             changes[move.shard] = dataclasses.replace(entry, target=move.target, reason=move.reason)
-    state = _put(state, changes)
+    state = _put_assignments(state, changes)
     splits = {shard: find_parent(shard) for shard in plan.split if shard not in state.assignments}
     merges = frozenset(shard for shard in plan.merge if shard in state.assignments)
     return dataclasses.replace(
-        state, splits={**state.splits, **splits}, merges=state.merges | merges
+        state,
+        pending_splits={**state.pending_splits, **splits},
+        pending_merges=state.pending_merges | merges,
     )
 
 
@@ -938,14 +982,16 @@
         revokes += [
             (node, shard) for node in entry.holders if _should_revoke(state, shard, entry, node)
         ]
-        if _may_grant(state, shard, entry, keys, now) and _is_apart(state, shard, entry, merged):
+        if _may_grant(state, shard, entry, keys, now) and _is_exclusive(
+            state, shard, entry, merged
+        ):
             holding = message.Holding(shard=shard, fence=entry.fence, excluded=sorted(keys))
             grants.setdefault(entry.owner, []).append(holding)
     return Actions(revokes=revokes, grants=grants)
 
 
 def _is_steady(entry: Assignment, excluded: frozenset[identity.KeyId]) -> bool:
-    """Return whether a shard is with its owner, which is so for nearly all at any time."""
+    """Return whether a shard needs no action, as is the case for nearly all shards at any time."""
     holder = entry.holders.get(entry.owner)
     if holder is None or len(entry.holders) > 1 or entry.target is not None or entry.is_merged:
         return False
@@ -991,22 +1037,22 @@
         return False
     holder = entry.holders.get(entry.owner)
     if holder is not None and holder.is_acked and holder.excluded == excluded:
-        return holder.fence < entry.fence and entry.is_ready
-    if holder is None and not (entry.is_ready and now >= entry.free_at_s):
+        return holder.fence < entry.fence and entry.is_grantable
+    if holder is None and not (entry.is_grantable and now >= entry.free_at_s):
         return False
-    return holder is None or holder.fence == entry.fence or entry.is_ready
+    return holder is None or holder.fence == entry.fence or entry.is_grantable
 
 
-def _is_apart(
+def _is_exclusive(
     state: Coordinator, shard: identity.ShardId, entry: Assignment, merged: list[Assignment]
 ) -> bool:
-    """Return whether nobody else can serve the keys of the shard under another shard."""
+    """Return whether no other node can serve keys of the shard as part of another shard."""
     if entry.parent is not None:
         parent = state.assignments.get(entry.parent, Assignment())
         key = identity.split_shard(shard)[2]
         return all(
-            node == entry.owner or (held.is_acked and key in held.excluded)
-            for node, held in parent.holders.items()
+            node == entry.owner or (holder.is_acked and key in holder.excluded)
+            for node, holder in parent.holders.items()
         )
     return all(
         node == entry.owner and node in entry.holders
@@ -1019,7 +1065,7 @@
 def record_grant_sent(
     state: Coordinator, node: identity.NodeId, holdings: list[message.Holding]
 ) -> Coordinator:
-    """Count a node as holder of shards that are about to be granted to it.
+    """Record a node as holder of shards that are about to be granted to it.
 
     :param state: the coordinator.
     :param node: the node.
@@ -1030,32 +1076,32 @@
         entry = state.assignments[holding.shard]
         holder = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
         changes[holding.shard] = dataclasses.replace(entry, holders={**entry.holders, node: holder})
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def record_grant_accepted(
     state: Coordinator, node: identity.NodeId, holdings: list[message.Holding]
 ) -> Coordinator:
-    """Note that a node has accepted a grant.
+    """Record that a node has accepted a grant.
 
     :param state: the coordinator.
     :param node: the node.
-    :param holdings: what was granted.
+    :param holdings: the holdings that were granted.
     """
     changes = {}
     merged = {shard: entry for shard, entry in state.assignments.items() if entry.is_merged}
     for holding in holdings:
         entry = state.assignments.get(holding.shard)
         holder = entry.holders.get(node) if entry is not None else None
-        told = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
-        if entry is None or holder is None or holder != told:
+        granted = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
+        if entry is None or holder is None or holder != granted:
             continue
-        acked = dataclasses.replace(told, is_acked=True)
+        acked = dataclasses.replace(granted, is_acked=True)
         changes[holding.shard] = dataclasses.replace(entry, holders={**entry.holders, node: acked})
         for shard, child in merged.items():
             if child.parent == holding.shard and node in child.holders:
                 changes[shard] = _drop_holder(child, node)
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def record_release(
@@ -1065,30 +1111,30 @@
     *,
     has_memory: bool,
 ) -> Coordinator:
-    """Note that a node does not hold a shard and will not take an earlier grant of it.
+    """Record that a node does not hold a shard and will not accept an earlier grant of it.
 
-    A release under an earlier fencing token says nothing of what was served under the committed
-    one, so its token memory does not make the shard ready.
+    A release under an earlier fencing token doesn't show what was served under the committed one,
+    so its token memory does not make the shard grantable.
 
     :param state: the coordinator.
     :param node: the node.
     :param shard: the shard.
-    :param has_memory: whether the token memory of the node is at hand, or the node has not held the
-        shard.
+    :param has_memory: whether the coordinator has the node's token memory, or the node has not held
+        the shard.
     """
     entry = state.assignments.get(shard)
     if entry is None or node not in entry.holders:
         return state
     is_current = entry.holders[node].fence == entry.fence
-    is_ready = has_memory if is_current else entry.is_ready
-    entry = dataclasses.replace(_drop_holder(entry, node), is_ready=is_ready)
-    return _put(state, {shard: entry})
+    is_grantable = has_memory if is_current else entry.is_grantable
+    entry = dataclasses.replace(_drop_holder(entry, node), is_grantable=is_grantable)
+    return _put_assignments(state, {shard: entry})
 
 
 def cancel_moves(
     state: Coordinator, shards: collections.abc.Iterable[identity.ShardId]
 ) -> Coordinator:
-    """Give up moves that are not committed; their shards go back to the committed owner.
+    """Cancel moves that are not committed; their shards return to the committed owner.
 
     :param state: the coordinator.
     :param shards: the shards.
@@ -1098,11 +1144,11 @@
         for shard in shards
         if shard in state.assignments and state.assignments[shard].target is not None
     }
-    return _put(state, changes)
+    return _put_assignments(state, changes)
 
 
 def _drop_holder(entry: Assignment, node: identity.NodeId) -> Assignment:
-    holders = {other: held for other, held in entry.holders.items() if other != node}
+    holders = {other: holder for other, holder in entry.holders.items() if other != node}
     return dataclasses.replace(entry, holders=holders)
 
 
@@ -1119,27 +1165,27 @@
         and (change := _build_move(state, shard, entry, now)) is not None
     ]
     moved = {change.shard for change in changes}
-    for shard, parent in state.splits.items():
-        if shard not in state.assignments and _is_settled(state, parent) and parent not in moved:
-            held = state.assignments[parent]
-            changes.append(_make_split(shard, parent, held))
+    for shard, parent in state.pending_splits.items():
+        if shard not in state.assignments and _is_stable(state, parent) and parent not in moved:
+            parent_entry = state.assignments[parent]
+            changes.append(_make_split(shard, parent, parent_entry))
             moved.add(parent)
-    for shard in sorted(state.merges):
+    for shard in sorted(state.pending_merges):
         entry = state.assignments.get(shard)
-        parent_of = entry.parent if entry is not None else None
-        if entry is None or parent_of is None or moved & {shard, parent_of}:
+        partition = entry.parent if entry is not None else None
+        if entry is None or partition is None or moved & {shard, partition}:
             continue
-        if not (_is_settled(state, shard) and _is_settled(state, parent_of)):
+        if not (_is_stable(state, shard) and _is_stable(state, partition)):
             continue
-        if state.assignments[parent_of].owner == entry.owner:
-            changes += _make_merge(shard, entry, parent_of, state.assignments[parent_of])
-            moved |= {shard, parent_of}
+        if state.assignments[partition].owner == entry.owner:
+            changes += _make_merge(shard, entry, partition, state.assignments[partition])
+            moved |= {shard, partition}
     if not changes:
         return None
     names = sorted({name_assignment_row(change.shard) for change in changes})
-    expected = {name: state.versions.get(name, 0) for name in names}
+    expected = {name: state.row_versions.get(name, 0) for name in names}
     cell_row = name_cell_row(state.cell)
-    expected[cell_row] = state.versions[cell_row]
+    expected[cell_row] = state.row_versions[cell_row]
     pages: dict[str, list[tuple[identity.ShardId, Assignment]]] = {name: [] for name in names}
     for shard, entry in apply_changes(state, changes).assignments.items():
         name = name_assignment_row(shard)
@@ -1162,7 +1208,7 @@
         return None
     return Change(
         shard=shard,
-        before=entry.owner,
+        previous_owner=entry.owner,
         owner=target,
         fence=_next_fence(entry),
         reason=entry.reason or assignment.MoveReason.ORPHANED,
@@ -1176,7 +1222,7 @@
     return identity.Fence(max(fences) + 1)
 
 
-def _is_settled(state: Coordinator, shard: identity.ShardId) -> bool:
+def _is_stable(state: Coordinator, shard: identity.ShardId) -> bool:
     entry = state.assignments.get(shard)
     if entry is None or entry.target is not None or entry.is_merged:
         return False
@@ -1186,13 +1232,15 @@
     return holder.is_acked and holder.fence == entry.fence
 
 
-def _make_split(shard: identity.ShardId, parent: identity.ShardId, held: Assignment) -> Change:
-    # The key's fencing token is above its partition's, because targets may compare them by key.
+def _make_split(
+    shard: identity.ShardId, parent: identity.ShardId, parent_entry: Assignment
+) -> Change:
+    # The key's fencing token exceeds its partition's, because targets may compare tokens by key.
     return Change(
         shard=shard,
-        before=held.owner,
-        owner=held.owner,
-        fence=_next_fence(held),
+        previous_owner=parent_entry.owner,
+        owner=parent_entry.owner,
+        fence=_next_fence(parent_entry),
         reason=assignment.MoveReason.HOT_KEY,
         parent=parent,
         is_split=True,
@@ -1200,11 +1248,11 @@
 
 
 def _make_merge(
-    shard: identity.ShardId, entry: Assignment, parent: identity.ShardId, held: Assignment
+    shard: identity.ShardId, entry: Assignment, parent: identity.ShardId, parent_entry: Assignment
 ) -> list[Change]:
     key = Change(
         shard=shard,
-        before=entry.owner,
+        previous_owner=entry.owner,
         owner=entry.owner,
         fence=entry.fence,
         reason=assignment.MoveReason.HOT_KEY,
@@ -1213,9 +1261,9 @@
     )
     partition = Change(
         shard=parent,
-        before=held.owner,
-        owner=held.owner,
-        fence=_next_fence(entry, held),
+        previous_owner=parent_entry.owner,
+        owner=parent_entry.owner,
+        fence=_next_fence(entry, parent_entry),
         reason=assignment.MoveReason.HOT_KEY,
     )
     return [key, partition]
@@ -1248,7 +1296,7 @@
 
 
 def apply_changes(state: Coordinator, changes: list[Change]) -> Coordinator:
-    """Take changes that are committed.
+    """Apply committed changes to the assignments.
 
     :param state: the coordinator.
     :param changes: the changes.
@@ -1257,7 +1305,7 @@
     for change in changes:
         entry = state.assignments.get(change.shard, Assignment())
         if change.is_split:
-            # The node serves the key under its partition until it has the grant that splits them.
+            # The node serves the key as part of its partition until it receives the grant.
             holder = Holder(fence=identity.Fence(change.fence - 1))
             entry = Assignment(holders={change.owner: holder})
         updated[change.shard] = dataclasses.replace(
@@ -1267,40 +1315,44 @@
             parent=change.parent,
             target=None,
             reason=None,
-            is_ready=True,
+            is_grantable=True,
             is_merged=change.is_merged,
         )
     done = {change.shard for change in changes}
     state = dataclasses.replace(
         state,
-        splits={shard: parent for shard, parent in state.splits.items() if shard not in done},
-        merges=state.merges - done,
+        pending_splits={
+            shard: parent for shard, parent in state.pending_splits.items() if shard not in done
+        },
+        pending_merges=state.pending_merges - done,
     )
-    return _put(state, updated)
+    return _put_assignments(state, updated)
 
 
 def record_commit(state: Coordinator, transaction: Transaction) -> Coordinator:
-    """Note the versions of rows after a commit.
+    """Record the versions of rows after a commit.
 
-    A row that is written again is counted one version higher; if the table counts otherwise, the
-    next commit conflicts and the rows are read back.
+    Each written row is assumed to be one version higher. If the table counts differently, the next
+    commit conflicts and the rows are read back.
 
     :param state: the coordinator.
     :param transaction: the committed write.
     """
     written = {name: transaction.expected[name] + 1 for name in transaction.writes}
-    return dataclasses.replace(state, versions={**state.versions, **written})
+    return dataclasses.replace(state, row_versions={**state.row_versions, **written})
 
 
-# Updates that keep digests and versions in step
+# Updates that also maintain digests and versions
 
 
-def _put(state: Coordinator, changes: dict[identity.ShardId, Assignment]) -> Coordinator:
+def _put_assignments(
+    state: Coordinator, changes: dict[identity.ShardId, Assignment]
+) -> Coordinator:
     if not changes:
         return state
     assigned = dict(state.assignments)
     digests = dict(state.digests)
-    removed = dict(state.removed)
+    removed = dict(state.removed_keys)
     version = state.routes_version + 1
     is_rerouted = False
     for shard, entry in changes.items():
@@ -1313,7 +1365,7 @@
             entry.is_merged,
         ):
             is_rerouted = True
-            entry = dataclasses.replace(entry, changed=version)
+            entry = dataclasses.replace(entry, changed_version=version)
             removed.pop(shard, None)
             if entry.is_merged:
                 removed[shard] = version
@@ -1324,7 +1376,7 @@
         state,
         assignments=assigned,
         digests=digests,
-        removed=removed,
+        removed_keys=removed,
         routes_version=version if is_rerouted else state.routes_version,
     )
 
@@ -1334,12 +1386,16 @@
     return lease.digest_holdings([holding])
 
 
-def _put_lease(state: Coordinator, known: NodeLease) -> Coordinator:
-    node = known.member.node
+def _put_lease(state: Coordinator, node_lease: NodeLease) -> Coordinator:
+    node = node_lease.member.node
     before = state.leases.get(node)
-    state = dataclasses.replace(state, leases={**state.leases, node: known})
-    return state if before is not None and before.member == known.member else _put_members(state)
+    state = dataclasses.replace(state, leases={**state.leases, node: node_lease})
+    return (
+        state
+        if before is not None and before.member == node_lease.member
+        else _increment_members_version(state)
+    )
 
 
-def _put_members(state: Coordinator) -> Coordinator:
+def _increment_members_version(state: Coordinator) -> Coordinator:
     return dataclasses.replace(state, members_version=state.members_version + 1)
--- a/tests/process/test_terms.py
+++ b/tests/process/test_terms.py
@@ -1,4 +1,4 @@
-"""Interleavings of claims, renewals, releases and lost replies, on the pure rules alone."""
+"""Tests of ``lease`` and ``cell`` under all orders of claims, renewals, releases and losses."""
 
 import collections.abc
 import dataclasses
@@ -21,28 +21,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Envelope:
-    """A message under way, which may be delivered late, or never."""
+    """A message in transit, which may be delivered late or never."""
 
     source: identity.NodeId
     target: identity.NodeId
     body: message.Message
-    beat: lease.PendingHeartbeat | None = None
+    pending: lease.PendingHeartbeat | None = None
     sent_at_s: float = 0.0
-    # Set while a release waits for the requests in flight; delivering it ends the release.
+    # A release that waits for requests in flight; its delivery ends the release.
     is_release: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class World:
-    """Three nodes that may all be coordinator, the table, and the messages under way."""
+    """Three nodes that can each be coordinator, the table, and the messages in transit."""
 
     now: float = 0.0
     nodes: dict[identity.NodeId, lease.Node]
     standbys: dict[identity.NodeId, cell.Standby]
-    duties: dict[identity.NodeId, cell.Coordinator]
+    coordinators: dict[identity.NodeId, cell.Coordinator]
     rows: dict[str, tuple[bytes, int]]
     sent: tuple[Envelope, ...] = ()
-    order: int = 0
+    sequence: int = 0
 
 
 def make_member(node: identity.NodeId) -> message.Member:
@@ -57,7 +57,7 @@
     )
 
 
-def make_seat(node: identity.NodeId) -> cell.NodeInstance:
+def make_instance(node: identity.NodeId) -> cell.NodeInstance:
     return cell.make_instance(make_member(node))
 
 
@@ -66,9 +66,11 @@
 
 
 def make_world() -> World:
-    """Return a cell in which a is coordinator, b standby, and c holds the shard."""
+    """Return a cell with coordinator a and standby b, in which c holds the shard."""
     a, b, c = NAMES
-    row = cell.CellRow(term=identity.Term(1), coordinator=make_seat(a), standbys=[make_seat(b)])
+    row = cell.CellRow(
+        term=identity.Term(1), coordinator=make_instance(a), standbys=[make_instance(b)]
+    )
     entry = cell.PageEntry(partition=identity.Partition(0), owner=c, fence=identity.Fence(1))
     rows = {
         CELL_ROW: (cell.encode_row(row), 1),
@@ -82,7 +84,7 @@
             term=row.term,
             coordinator=a,
             address=identity.Address(a),
-            order=0,
+            sequence=0,
             now=0.0,
         )
     nodes[c] = dataclasses.replace(
@@ -91,23 +93,23 @@
         lease_end_s=lease.LEASE_S,
         digest=lease.digest_holdings([message.Holding(shard=SHARD, fence=identity.Fence(1))]),
     )
-    duty = open_duty(row, a, 1, 0.0, 0.0)
-    duty = cell.load_rows(duty, {PAGE: rows[PAGE]}, no_wait)
+    coordinator = open_coordinator(row, a, 1, 0.0, 0.0)
+    coordinator = cell.load_rows(coordinator, {PAGE: rows[PAGE]}, no_wait)
     for name in NAMES:
-        duty = collect(duty, nodes[name], 0.0)
-    duty = cell.record_consent(duty, b, 0.0)
+        coordinator = collect(coordinator, nodes[name], 0.0)
+    coordinator = cell.record_consent(coordinator, b, 0.0)
     standbys = {name: cell.Standby() for name in NAMES}
     standbys[b] = cell.Standby(promised_until_s=lease.compute_promise_end(0.0))
-    return World(nodes=nodes, standbys=standbys, duties={a: duty}, rows=rows)
+    return World(nodes=nodes, standbys=standbys, coordinators={a: coordinator}, rows=rows)
 
 
-def open_duty(
+def open_coordinator(
     row: cell.CellRow, node: identity.NodeId, version: int, bound: float, now: float
 ) -> cell.Coordinator:
     return cell.open_coordinator(
         row,
         cell=CELL,
-        seat=make_seat(node),
+        instance=make_instance(node),
         zone=ZONE,
         version=version,
         unknown_until_s=bound,
@@ -115,14 +117,14 @@
     )
 
 
-def collect(duty: cell.Coordinator, node: lease.Node, now: float) -> cell.Coordinator:
+def collect(coordinator: cell.Coordinator, node: lease.Node, now: float) -> cell.Coordinator:
     following = message.Following(
         member=make_member(node.node),
         term=node.term,
         holdings=lease.list_holdings(node),
         config_version=node.config_version,
     )
-    return cell.record_holdings(duty, following, lambda shard: SHARD, now)
+    return cell.record_holdings(coordinator, following, lambda shard: SHARD, now)
 
 
 def find_servers(world: World) -> list[identity.NodeId]:
@@ -133,7 +135,7 @@
     ]
 
 
-# Steps. Each returns the world after it, or None if it cannot be taken.
+# Steps. Each returns the world after the step, or None if the step is impossible.
 
 
 def pass_time(world: World, period_s: float) -> World | None:
@@ -148,12 +150,14 @@
     return dataclasses.replace(world, nodes={**world.nodes, node.node: node})
 
 
-def put_duty(world: World, duty: cell.Coordinator) -> World:
-    return dataclasses.replace(world, duties={**world.duties, duty.seat.node: duty})
+def put_coordinator(world: World, coordinator: cell.Coordinator) -> World:
+    return dataclasses.replace(
+        world, coordinators={**world.coordinators, coordinator.instance.node: coordinator}
+    )
 
 
 def begin_heartbeat(world: World, name: identity.NodeId) -> World | None:
-    node, beat = lease.begin_heartbeat(world.nodes[name], world.now)
+    node, pending = lease.begin_heartbeat(world.nodes[name], world.now)
     body = message.Heartbeat(
         member=make_member(name),
         term=node.term,
@@ -163,20 +167,20 @@
         is_live=lease.is_live(node, world.now),
         is_suspended=any(map(lease.is_suspended, node.holdings.values())),
     )
-    envelope = Envelope(source=name, target=node.coordinator, body=body, beat=beat)
+    envelope = Envelope(source=name, target=node.coordinator, body=body, pending=pending)
     return send(put_node(world, node), envelope)
 
 
 def ask_consent(world: World, name: identity.NodeId) -> World | None:
-    duty = world.duties.get(name)
-    if duty is None:
+    coordinator = world.coordinators.get(name)
+    if coordinator is None:
         return None
     body = message.AskConsent(
-        term=duty.row.term, coordinator=name, incarnation=duty.seat.incarnation
+        term=coordinator.row.term, coordinator=name, incarnation=coordinator.instance.incarnation
     )
     asked = [
-        Envelope(source=name, target=seat.node, body=body, sent_at_s=world.now)
-        for seat in cell.list_required(duty)
+        Envelope(source=name, target=instance.node, body=body, sent_at_s=world.now)
+        for instance in cell.list_required(coordinator)
     ]
     return send(world, *asked) if asked else None
 
@@ -186,103 +190,109 @@
     row = cell.decode_cell(value)
     bound = cell.find_lease_bound(
         row,
-        seat=make_seat(name),
+        instance=make_instance(name),
         standby=world.standbys[name],
         announced={},
         read_at_s=world.now,
         now=world.now,
     )
-    if bound is None or name in world.duties:
+    if bound is None or name in world.coordinators:
         return None
-    claimed = cell.claim(row, make_seat(name), world.nodes[name].term)
+    claimed = cell.claim(row, make_instance(name), world.nodes[name].term)
     rows = {**world.rows, CELL_ROW: (cell.encode_row(claimed), version + 1)}
-    duty = open_duty(claimed, name, version + 1, bound, world.now)
-    duty = cell.load_rows(duty, {PAGE: rows[PAGE]}, no_wait)
+    coordinator = open_coordinator(claimed, name, version + 1, bound, world.now)
+    coordinator = cell.load_rows(coordinator, {PAGE: rows[PAGE]}, no_wait)
     node = lease.follow(
         world.nodes[name],
         term=claimed.term,
         coordinator=name,
         address=identity.Address(name),
-        order=0,
+        sequence=0,
         now=world.now,
     )
     world = dataclasses.replace(put_node(world, node), rows=rows)
-    world = put_duty(world, duty)
-    return call_nodes(world, name)
+    world = put_coordinator(world, coordinator)
+    return send_follow(world, name)
 
 
-def call_nodes(world: World, name: identity.NodeId) -> World | None:
-    duty = world.duties.get(name)
-    if duty is None:
+def send_follow(world: World, name: identity.NodeId) -> World | None:
+    coordinator = world.coordinators.get(name)
+    if coordinator is None:
         return None
-    world = dataclasses.replace(world, order=world.order + 1)
+    world = dataclasses.replace(world, sequence=world.sequence + 1)
     body = message.Follow(
-        term=duty.row.term,
+        term=coordinator.row.term,
         coordinator=name,
         address=identity.Address(name),
-        order=world.order,
+        sequence=world.sequence,
     )
-    missing = [other for other in NAMES if other not in duty.leases]
+    missing = [other for other in NAMES if other not in coordinator.leases]
     if not missing:
         return None
     return send(world, *(Envelope(source=name, target=other, body=body) for other in missing))
 
 
-def lead(world: World, name: identity.NodeId, target: identity.NodeId) -> World | None:
-    """Let a coordinator expire leases, plan a move to a node, commit, revoke and grant."""
-    duty = world.duties.get(name)
-    if duty is None:
+def run_coordinator(world: World, name: identity.NodeId, target: identity.NodeId) -> World | None:
+    """Expire leases, plan a move to a node, commit, and send revokes and grants."""
+    coordinator = world.coordinators.get(name)
+    if coordinator is None:
         return None
-    duty, _ = cell.expire(duty, no_wait, world.now)
+    coordinator, _ = cell.expire(coordinator, no_wait, world.now)
     move = assignment.Move(
         shard=SHARD, source=None, target=target, reason=assignment.MoveReason.RULE
     )
     plan = assignment.Plan(split=[], merge=[], moves=[move])
-    if world.now >= duty.unknown_until_s:
-        duty = cell.apply_plan(duty, plan, lambda shard: SHARD, world.now)
-    world = commit(put_duty(world, duty), name)
-    duty = world.duties.get(name, duty)
-    actions = cell.list_actions(duty, world.now)
+    if world.now >= coordinator.unknown_until_s:
+        coordinator = cell.apply_plan(coordinator, plan, lambda shard: SHARD, world.now)
+    world = commit(put_coordinator(world, coordinator), name)
+    coordinator = world.coordinators.get(name, coordinator)
+    actions = cell.list_actions(coordinator, world.now)
     for node, shard in actions.revokes:
-        world = dataclasses.replace(world, order=world.order + 1)
+        world = dataclasses.replace(world, sequence=world.sequence + 1)
         revoke = message.Revoke(
-            term=duty.row.term,
+            term=coordinator.row.term,
             shards=[shard],
-            to=duty.leases[node].member.incarnation,
-            order=world.order,
+            incarnation=coordinator.leases[node].member.incarnation,
+            sequence=world.sequence,
         )
         world = send(world, Envelope(source=name, target=node, body=revoke))
     for node, holdings in actions.grants.items():
-        duty = cell.record_grant_sent(duty, node, holdings)
-        world = dataclasses.replace(put_duty(world, duty), order=world.order + 1)
+        coordinator = cell.record_grant_sent(coordinator, node, holdings)
+        world = dataclasses.replace(
+            put_coordinator(world, coordinator), sequence=world.sequence + 1
+        )
         grant = message.Grant(
-            term=duty.row.term,
+            term=coordinator.row.term,
             holdings=holdings,
             memories=[],
-            to=duty.leases[node].member.incarnation,
-            order=world.order,
+            incarnation=coordinator.leases[node].member.incarnation,
+            sequence=world.sequence,
         )
         world = send(world, Envelope(source=name, target=node, body=grant))
     return world
 
 
 def commit(world: World, name: identity.NodeId) -> World:
-    duty = world.duties[name]
-    transaction = cell.build_transaction(duty, world.now)
+    coordinator = world.coordinators[name]
+    transaction = cell.build_transaction(coordinator, world.now)
     if transaction is None:
         return world
     if any(world.rows[row][1] != version for row, version in transaction.expected.items()):
-        return drop_duty(world, name)
+        return drop_coordinator(world, name)
     written = {
         row: (value or b"", world.rows[row][1] + 1) for row, value in transaction.writes.items()
     }
-    duty = cell.apply_changes(cell.record_commit(duty, transaction), transaction.changes)
-    return put_duty(dataclasses.replace(world, rows={**world.rows, **written}), duty)
+    coordinator = cell.apply_changes(
+        cell.record_commit(coordinator, transaction), transaction.changes
+    )
+    return put_coordinator(dataclasses.replace(world, rows={**world.rows, **written}), coordinator)
 
 
-def drop_duty(world: World, name: identity.NodeId) -> World:
-    duties = {node: duty for node, duty in world.duties.items() if node != name}
-    return dataclasses.replace(world, duties=duties)
+def drop_coordinator(world: World, name: identity.NodeId) -> World:
+    coordinators = {
+        node: coordinator for node, coordinator in world.coordinators.items() if node != name
+    }
+    return dataclasses.replace(world, coordinators=coordinators)
 
 
 def lose_message(world: World, index: int) -> World | None:
@@ -292,7 +302,7 @@
 
 
 def deliver(world: World, index: int, is_reply_lost: bool) -> World | None:
-    """Deliver a message; its reply goes under way unless it is lost."""
+    """Deliver a message, and send its reply unless that is lost."""
     if index >= len(world.sent):
         return None
     envelope = world.sent[index]
@@ -304,43 +314,45 @@
 
 def _handle(world: World, envelope: Envelope) -> World:
     node = world.nodes[envelope.target]
-    duty = world.duties.get(envelope.target)
+    coordinator = world.coordinators.get(envelope.target)
     reply = functools.partial(
         dataclasses.replace, envelope, source=envelope.target, target=envelope.source
     )
     match envelope.body:
-        case message.Heartbeat() as beat if duty is not None:
-            duty, _ = cell.expire(duty, no_wait, world.now)
-            duty, answer = cell.handle_heartbeat(duty, beat, world.now)
-            world = put_duty(world, duty)
+        case message.Heartbeat() as heartbeat if coordinator is not None:
+            coordinator, _ = cell.expire(coordinator, no_wait, world.now)
+            coordinator, answer = cell.handle_heartbeat(coordinator, heartbeat, world.now)
+            world = put_coordinator(world, coordinator)
             if answer is cell.HeartbeatAnswer.RENEW:
-                return send(world, reply(body=cell.build_renewal(duty, beat, [])))
-        case message.Renewal() as renewal if envelope.beat is not None:
-            return put_node(world, lease.apply_renewal(node, envelope.beat, renewal, world.now)[0])
+                return send(world, reply(body=cell.build_renewal(coordinator, heartbeat, [])))
+        case message.Renewal() as renewal if envelope.pending is not None:
+            return put_node(
+                world, lease.apply_renewal(node, envelope.pending, renewal, world.now)[0]
+            )
         case message.AskConsent() as request:
             standby = cell.give_consent(
                 world.standbys[envelope.target],
-                seen=node.term,
-                asked=request.term,
+                followed_term=node.term,
+                requested_term=request.term,
                 now=world.now,
             )
             if standby is not None:
                 standbys = {**world.standbys, envelope.target: standby}
                 world = dataclasses.replace(world, standbys=standbys)
                 return send(world, reply(body=message.Consent(term=request.term)))
-        case message.Consent() as consent if duty is not None:
-            if consent.term == duty.row.term:
-                duty = cell.record_consent(duty, envelope.source, envelope.sent_at_s)
-                return put_duty(world, duty)
+        case message.Consent() as consent if coordinator is not None:
+            if consent.term == coordinator.row.term:
+                coordinator = cell.record_consent(coordinator, envelope.source, envelope.sent_at_s)
+                return put_coordinator(world, coordinator)
         case message.Follow() as request if request.term >= node.term:
-            if duty is not None and duty.row.term < request.term:
-                world = drop_duty(world, envelope.target)
+            if coordinator is not None and coordinator.row.term < request.term:
+                world = drop_coordinator(world, envelope.target)
             node = lease.follow(
                 node,
                 term=request.term,
                 coordinator=request.coordinator,
                 address=request.address,
-                order=request.order,
+                sequence=request.sequence,
                 now=world.now,
             )
             following = message.Following(
@@ -350,11 +362,13 @@
                 config_version=node.config_version,
             )
             return send(put_node(world, node), reply(body=following))
-        case message.Following() as following if duty is not None:
-            is_new = following.member.node not in duty.leases
-            if following.term == duty.row.term and is_new:
-                duty = cell.record_holdings(duty, following, lambda shard: SHARD, world.now)
-                return put_duty(world, duty)
+        case message.Following() as following if coordinator is not None:
+            is_new = following.member.node not in coordinator.leases
+            if following.term == coordinator.row.term and is_new:
+                coordinator = cell.record_holdings(
+                    coordinator, following, lambda shard: SHARD, world.now
+                )
+                return put_coordinator(world, coordinator)
         case message.Revoke() as request if envelope.is_release:
             held = node.holdings.get(SHARD)
             if held is not None and held.state is not lease.HoldingState.RELEASING:
@@ -368,12 +382,12 @@
         case message.Revoke() as request if lease.accepts(node, request, SHARD):
             node, _ = lease.begin_release(node, request, world.now)
             return send(put_node(world, node), dataclasses.replace(envelope, is_release=True))
-        case message.Released() as released if duty is not None:
-            if released.term == duty.row.term:
+        case message.Released() as released if coordinator is not None:
+            if released.term == coordinator.row.term:
                 has_memory = not released.holdings
-                return put_duty(
+                return put_coordinator(
                     world,
-                    cell.record_release(duty, envelope.source, SHARD, has_memory=has_memory),
+                    cell.record_release(coordinator, envelope.source, SHARD, has_memory=has_memory),
                 )
         case message.Grant() as request:
             node, is_taken = lease.grant(node, request, world.now)
@@ -413,38 +427,38 @@
     return dataclasses.replace(world, sent=())
 
 
-def call_one(world: World, name: identity.NodeId, other: identity.NodeId) -> World | None:
-    """Let a coordinator collect one node; messages to others are lost."""
-    world = run_steps(world, functools.partial(call_nodes, name=name))
+def collect_node(world: World, name: identity.NodeId, other: identity.NodeId) -> World | None:
+    """Let a coordinator collect the holdings of one node; messages to others are lost."""
+    world = run_steps(world, functools.partial(send_follow, name=name))
     kept = tuple(envelope for envelope in world.sent if envelope.target == other)
     return run_steps(dataclasses.replace(world, sent=kept), deliver_first, deliver_first)
 
 
-def beat_through(world: World, name: identity.NodeId) -> World | None:
-    """Let a node renew its lease without delay."""
+def renew_lease(world: World, name: identity.NodeId) -> World | None:
+    """Renew the lease of a node with a heartbeat that is answered at once."""
     world = run_steps(dataclasses.replace(world, sent=()), lambda w: begin_heartbeat(w, name))
     return run_steps(world, deliver_first, deliver_first)
 
 
-def start_quietly() -> World:
+def start_undisturbed() -> World:
     return make_world()
 
 
 def start_after_claim() -> World:
-    """b has claimed the cell and its own lease is renewed; c has not answered."""
+    """Start after b claimed the cell and renewed its own lease; c has not answered."""
     _, b, _ = NAMES
     return run_steps(
         make_world(),
         wait_long,
         lambda w: claim(w, b),
         drop_all,
-        lambda w: call_one(w, b, b),
-        lambda w: beat_through(w, b),
+        lambda w: collect_node(w, b, b),
+        lambda w: renew_lease(w, b),
     )
 
 
 def start_after_lapse() -> World:
-    """c was silent until its shard went to b, which holds it and is renewed."""
+    """Start after c was silent until its shard was moved to b, whose lease is valid."""
     a, b, c = NAMES
     world = make_world()
     for _ in range(4):
@@ -454,24 +468,24 @@
             lambda w: ask_consent(w, a),
             deliver_first,
             deliver_first,
-            lambda w: beat_through(w, b),
+            lambda w: renew_lease(w, b),
         )
-    world = run_steps(world, lambda w: lead(w, a, b), deliver_first, deliver_first)
+    world = run_steps(world, lambda w: run_coordinator(w, a, b), deliver_first, deliver_first)
     assert find_servers(world) == [b]
-    return run_steps(world, lambda w: call_one(w, a, c))
+    return run_steps(world, lambda w: collect_node(w, a, c))
 
 
 def start_in_move() -> World:
-    """The coordinator has asked c to release the shard for b."""
+    """Start when the coordinator has asked c to release the shard for b."""
     a, b, _ = NAMES
-    return run_steps(make_world(), lambda w: beat_through(w, b), lambda w: lead(w, a, b))
+    return run_steps(make_world(), lambda w: renew_lease(w, b), lambda w: run_coordinator(w, a, b))
 
 
-STARTS = [start_quietly, start_after_claim, start_after_lapse, start_in_move]
+STARTS = [start_undisturbed, start_after_claim, start_after_lapse, start_in_move]
 
 
 def list_steps(world: World) -> list[Step]:
-    """Return every step that is explored from a world."""
+    """Return all steps to explore from a world."""
     a, b, c = NAMES
     steps: list[Step] = [
         lambda w: begin_heartbeat(w, b),
@@ -481,7 +495,9 @@
         lambda w: pass_time(w, 0.16),
         wait_long,
     ]
-    steps += [functools.partial(lead, name=name, target=b) for name in world.duties]
+    steps += [
+        functools.partial(run_coordinator, name=name, target=b) for name in world.coordinators
+    ]
     for index in range(len(world.sent)):
         steps.append(functools.partial(deliver, index=index, is_reply_lost=False))
         steps.append(functools.partial(deliver, index=index, is_reply_lost=True))
@@ -489,11 +505,11 @@
 
 
 def explore(world: World, depth: int) -> tuple[int, int]:
-    """Return how many worlds were visited, and in how many two nodes served the shard."""
+    """Return how many worlds were visited, and in how many of them two nodes served the shard."""
     visited, conflicts = 1, int(len(find_servers(world)) > 1)
     if depth == 0 or conflicts:
         return visited, conflicts
-    # A lost reply and one that was never sent lead to the same world.
+    # Losing a reply that was never sent leads to the same world as delivering without a reply.
     before = world
     for step in list_steps(world):
         after = step(world)
@@ -507,7 +523,7 @@
 
 @pytest.mark.parametrize("start", STARTS)
 def test_every_interleaving_has_one_owner(start: collections.abc.Callable[[], World]) -> None:
-    """Guards against an order of claim, renewal, release and lost replies with two owners."""
+    """Guards against two owners after any order of claims, renewals, releases and lost replies."""
     visited, conflicts = explore(start(), DEPTH)
     print(f"{start.__name__} depth={DEPTH} visited={visited}")
     assert visited > 1000
@@ -515,23 +531,23 @@
 
 
 def keep_serving(state: lease.Node, now: float) -> lease.Node:
-    """Stand in for a lapse that leaves the holdings in service."""
+    """Replace ``lease.lapse`` by one that does not suspend the holdings."""
     return state
 
 
 def ignore_leases(*args: object, now: float, **others: object) -> float:
-    """Stand in for a claim that does not wait for the leases of the former coordinator."""
+    """Replace ``find_lease_bound`` by one that ignores leases of the former coordinator."""
     return now
 
 
 def accept_all(*args: object) -> bool:
-    """Stand in for a node that takes overtaken orders."""
+    """Replace ``lease.accepts`` by one that accepts outdated revokes and grants."""
     return True
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Broken:
-    """A rule that is left out, and the start from which that must show."""
+    """A function to break, and the start from which the exploration must find that."""
 
     module: object
     name: str
@@ -540,17 +556,17 @@
 
 
 def start_with_duplicate() -> World:
-    """A grant to c was sent twice, and the second copy is late; then c released the shard."""
+    """Start after c released the shard while a duplicate of an earlier grant is in transit."""
     a, b, c = NAMES
-    world = run_steps(make_world(), lambda w: beat_through(w, b), lambda w: beat_through(w, c))
+    world = run_steps(make_world(), lambda w: renew_lease(w, b), lambda w: renew_lease(w, c))
     late = message.Grant(
         term=identity.Term(1),
         holdings=[message.Holding(shard=SHARD, fence=identity.Fence(1))],
         memories=[],
-        to=world.nodes[c].incarnation,
-        order=0,
+        incarnation=world.nodes[c].incarnation,
+        sequence=0,
     )
-    world = run_steps(world, lambda w: lead(w, a, b), deliver_first, deliver_first)
+    world = run_steps(world, lambda w: run_coordinator(w, a, b), deliver_first, deliver_first)
     return send(world, Envelope(source=a, target=c, body=late))
 
 
@@ -563,14 +579,14 @@
 
 @pytest.mark.parametrize("broken", BROKEN, ids=lambda broken: broken.name)
 def test_exploration_finds_broken_rule(broken: Broken, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a check that stays green when a rule is left out."""
+    """Guards against an exploration that finds no conflict although a function is broken."""
     assert explore(broken.start(), BROKEN_DEPTH)[1] == 0
     monkeypatch.setattr(broken.module, broken.name, broken.stand_in)
     assert explore(broken.start(), BROKEN_DEPTH)[1] > 0
 
 
 class Terms(stateful.RuleBasedStateMachine):
-    """Random steps of three nodes; at most one may serve the shard, under rising tokens."""
+    """Random steps of three nodes. At most one may serve the shard, under rising fencing tokens."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -594,8 +610,8 @@
         self.take(begin_heartbeat(self.world, name))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def beat_through(self, name: identity.NodeId) -> None:
-        """Deliver a whole exchange ahead of older messages."""
+    def renew_lease(self, name: identity.NodeId) -> None:
+        """Deliver a heartbeat and its renewal ahead of older messages."""
         kept = self.world.sent
         self.take(begin_heartbeat(dataclasses.replace(self.world, sent=()), name))
         self.take(deliver(self.world, 0, False))
@@ -611,12 +627,12 @@
         self.take(claim(self.world, name))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def call_nodes(self, name: identity.NodeId) -> None:
-        self.take(call_nodes(self.world, name))
+    def send_follow(self, name: identity.NodeId) -> None:
+        self.take(send_follow(self.world, name))
 
     @stateful.rule(name=strategies.sampled_from(NAMES), owner=strategies.sampled_from(NAMES))
-    def lead(self, name: identity.NodeId, owner: identity.NodeId) -> None:
-        self.take(lead(self.world, name, owner))
+    def run_coordinator(self, name: identity.NodeId, owner: identity.NodeId) -> None:
+        self.take(run_coordinator(self.world, name, owner))
 
     @stateful.rule(index=strategies.integers(0, 5), is_reply_lost=strategies.booleans())
     def deliver(self, index: int, is_reply_lost: bool) -> None:
@@ -624,7 +640,7 @@
 
     @stateful.rule(count=strategies.integers(1, 8))
     def deliver_all(self, count: int) -> None:
-        """Deliver messages in order, so that whole exchanges happen often."""
+        """Deliver messages in order, so that complete exchanges are frequent."""
         for _ in range(count):
             self.take(deliver(self.world, 0, False))
 
