--- a/src/ebonyvalve/connection/__init__.py
+++ b/src/ebonyvalve/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection."""
+"""Modules whose state lasts for one connection."""
--- a/src/ebonyvalve/connection/channel.py
+++ b/src/ebonyvalve/connection/channel.py
@@ -1,13 +1,13 @@
 """The control channel between nodes: requests and replies on long-lived grpclib streams.
 
-Each node opens one bidirectional stream to every node that it asks. Requests go one way, replies
-come back the other way in any order, matched by sequence number. A stream carries the requests of
+Each node opens one bidirectional stream to every node that it sends requests to. Replies come back
+on the same stream in any order and are matched by sequence number. A stream carries the requests of
 one direction only, so that neither end has to trust the address that the other claims.
 
 grpclib runs under trio-asyncio on the trio loop. Each wake-up of an asyncio task there costs a pass
-of both loops, more than encoding a message. So payloads are taken out of DATA frames as these
-arrive, and a trio task sends by itself when the stream can take the message at once; the tasks of a
-stream run only when it opens, ends or is held back by flow control.
+of both loops, which is more than encoding a message. Payloads are therefore extracted from DATA
+frames as these arrive, and a trio task sends directly if the stream can take the message at once.
+The asyncio tasks of a stream run only when it opens, ends or is blocked by flow control.
 """
 
 import asyncio
@@ -51,23 +51,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """Bounds of a channel.
+    """Limits of a channel. Sizes are in bytes, times in seconds.
 
-    ``in_flight`` holds per peer for requests sent, and per stream for requests being answered.
+    ``in_flight`` limits requests sent per peer, and requests being answered per stream.
     ``silent_s`` is how long a request waits on a stream that delivers nothing before the next
     request opens a new stream. It is below the heartbeat period of 150 ms, so that a silent stream
-    costs one heartbeat and not the lease; a false alarm costs the opening of a stream, which is a
-    few milliseconds of CPU at each end. ``connect_s`` leaves room for 24 nodes that open streams to
-    a new coordinator at the same moment; it ends before the kernel repeats a lost SYN after 1 s.
+    costs one heartbeat and not the lease. A false alarm costs the opening of a stream, which is a
+    few milliseconds of CPU at each end. ``silent_s`` doubles with each silent stream in a row, up
+    to ``silent_max_s``. ``connect_s`` allows for 24 nodes that open streams to a new coordinator at
+    the same moment, and is shorter than the 1 s after which the kernel repeats a lost SYN.
     ``backoff_max_s`` is short because a lost node has to be replaced within 1 s. ``idle_s`` is when
-    an unused stream may be closed by its asker; the answering end closes it after twice this time,
-    as a peer that is lost without notice never does.
+    the requesting end may close an unused stream. The answering end closes it after twice this
+    time, as a peer that is lost without notice never closes it.
     """
 
     message_bytes: int = 8 * 1024 * 1024
     in_flight: int = 64
     accepted_streams: int = 256
-    # Handlers running for all peers, among them those whose peer has gone.
+    # Handlers running for all peers, including those whose peer has disconnected.
     running: int = 1024
     connect_s: float = 0.5
     silent_s: float = 0.1
@@ -81,9 +82,9 @@
 class TlsFiles:
     """Paths of the PEM files for mutual TLS.
 
-    ``check_address`` also requires that the certificate of a peer names the IP address that was
+    ``check_address`` also requires that the certificate of a peer contains the IP address that was
     connected to. It is off by default because VMs are replaced at any time and their certificates
-    need not carry addresses; every peer must still hold a certificate of the authority.
+    need not contain addresses. Every peer must still present a certificate of the authority.
     """
 
     certificate: str
@@ -92,7 +93,7 @@
     check_address: bool = False
 
 
-# serve(handle, address, tls, task_status=...), to be started by trio.Nursery.start
+# serve(handle, address, tls, task_status=...), for trio.Nursery.start
 Serve = collections.abc.Callable[..., collections.abc.Awaitable[None]]
 
 
@@ -102,11 +103,11 @@
 
     ``ask(address, message, timeout_s)`` sends a request and returns its reply.
     ``serve(handle, address, tls)`` answers requests until cancelled; it reports the bound address
-    by ``task_status``, so port 0 may be asked for.
+    by ``task_status``, so that port 0 may be given.
     ``prepare(address, timeout_s)`` opens the stream to a peer, or checks that it is open, without
-    reaching the peer's handler. Opening 24 streams costs a large part of the second in which a new
-    coordinator has to be in charge, so standbys prepare theirs beforehand and repeat this more
-    often than ``Limits.idle_s``.
+    calling the peer's handler. Opening 24 streams takes a large part of the second within which a
+    new coordinator has to take over, so standbys open theirs beforehand, and repeat this more often
+    than ``Limits.idle_s``.
     ``close(address)`` closes the streams to a peer that has left.
     """
 
@@ -119,7 +120,7 @@
 
 
 class Status(enum.Enum):
-    """Whether the request reached its handler, or why not."""
+    """Whether the request reached its handler, or why it did not."""
 
     HANDLED = 0
     MALFORMED = 1
@@ -129,8 +130,8 @@
 class Envelope(msgspec.Struct, kw_only=True, array_like=True):
     """A request or reply with its sequence number.
 
-    A request without a body is answered with the same envelope and reaches no handler. The status
-    of any other reply without a body is its cause.
+    A request without a body is echoed and reaches no handler. For any other reply without a body,
+    ``status`` says why the request was not handled.
     """
 
     sequence: int
@@ -152,10 +153,10 @@
 
 
 class PayloadCodec(grpclib.encoding.base.CodecBase):
-    """The codec that grpclib requires. It passes on payloads that are encoded already.
+    """The codec that grpclib requires; it passes encoded payloads through unchanged.
 
-    Envelopes are encoded and decoded beside the request that they belong to, so that a message that
-    is too large or malformed fails this request alone and not the whole stream.
+    Envelopes are encoded and decoded outside of grpclib, so that a message that is too large or
+    malformed fails its own request and not the whole stream.
     """
 
     __content_subtype__ = "msgpack"
@@ -171,12 +172,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Servable:
-    """What a grpclib server asks for its methods."""
+    """The method table of a grpclib server."""
 
     handlers: dict[str, grpclib.const.Handler]
 
     def __mapping__(self) -> dict[str, grpclib.const.Handler]:
-        """Return the method table, which generated code would otherwise give."""
+        """Return the method table, which code generated by protoc would otherwise provide."""
         return self.handlers
 
 
@@ -184,10 +185,10 @@
 
 
 class Inbox(grpclib.protocol.Buffer):
-    """Takes payloads out of the DATA frames of a stream and delivers them at once.
+    """Extracts payloads from the DATA frames of a stream and delivers them at once.
 
-    The buffer of grpclib wakes a task for each message, and collects a message of any length up to
-    4 GiB.
+    It replaces the buffer of grpclib, which wakes a task for each message and accepts messages of
+    up to 4 GiB.
     """
 
     def __init__(
@@ -197,10 +198,11 @@
         deliver: collections.abc.Callable[[bytes], None],
         limit_bytes: int,
     ) -> None:
-        """Set up an empty inbox.
+        """Create an empty inbox.
 
-        :param ack: reports bytes taken, for flow control.
-        :param deliver: takes a payload; it raises if the stream cannot be used any longer.
+        :param ack: acknowledges received bytes, for flow control.
+        :param deliver: called with each payload; it raises ``ValueError`` if the stream can't be
+            used any longer.
         :param limit_bytes: the largest payload accepted.
         """
         super().__init__(ack)
@@ -208,11 +210,11 @@
         self.deliver = deliver
         self.limit_bytes = limit_bytes
         self.collected = bytearray()
-        # Done when the stream ends, with an exception if that is a fault of the peer.
+        # Done when the stream ends, with an exception if the peer violated the protocol.
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def add(self, data: bytes, ack_size: int) -> None:
-        """Take the data of one frame."""
+        """Process the data of one frame."""
         self.ack(ack_size)
         if self.ended.done():
             return
@@ -224,30 +226,30 @@
             self.ended.set_exception(error)
 
     def eof(self) -> None:
-        """Take the end of the stream."""
+        """Process the end of the stream."""
         if not self.ended.done():
             self.ended.set_result(None)
 
     def unacked_size(self) -> int:
-        """Return the bytes not reported as taken, which are none."""
+        """Return the number of unacknowledged bytes, which is always 0."""
         return 0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Outbox:
-    """The sending half of a stream, with encoded envelopes that wait for the writer."""
+    """The sending half of a stream, with encoded envelopes that wait for the writer task."""
 
     stream: grpclib.protocol.Stream | None = None
     payloads: collections.deque[bytes] = dataclasses.field(default_factory=collections.deque)
     filled: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    # The writer is in the middle of a message.
+    # The writer task is in the middle of a message.
     is_sending: bool = False
     is_closed: bool = False
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Session:
-    """The answering end of a stream."""
+    """The answering end of a stream; ``running`` is the number of handlers running for it."""
 
     stream: grpclib.protocol.Stream
     outbox: Outbox = dataclasses.field(default_factory=Outbox)
@@ -265,11 +267,15 @@
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Link:
-    """One stream to a peer, with the requests that wait on it."""
+    """The requesting end of a stream to a peer, with the requests that wait for replies.
+
+    ``is_retired`` streams get no further requests and close after the last reply.
+    """
 
     outbox: Outbox = dataclasses.field(default_factory=Outbox)
     waiters: dict[int, Waiter] = dataclasses.field(default_factory=dict)
-    # When the oldest request since the last delivery was sent.
+    # When the first request after the last received reply was sent, or when that reply came if
+    # other requests were waiting; None if no request waits.
     unanswered_since_s: float | None = None
     is_retired: bool = False
     scope: trio.CancelScope = dataclasses.field(default_factory=trio.CancelScope)
@@ -277,7 +283,7 @@
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Peer:
-    """What is known of one address that is asked."""
+    """State of one address to which requests are sent."""
 
     address: identity.Address
     link: Link | None = None
@@ -285,7 +291,7 @@
     opening: trio.Event | None = None
     failures: int = 0
     retry_at_s: float = 0.0
-    # Streams retired in a row without a delivery; each doubles the wait before the next.
+    # Streams retired in a row without a reply; each one doubles the wait before the next.
     silent_streams: int = 0
     in_flight: int = 0
     used_at_s: float = 0.0
@@ -317,11 +323,11 @@
 
     :param tls: made by :func:`load_client_tls`; without it, connections are not encrypted.
     :param limits: bounds on sizes, numbers and times.
-    :param seed: seed of the random spread of reconnects.
+    :param seed: seed of the jitter of reconnects.
     """
     async with trio_asyncio.open_loop() as loop, trio.open_nursery() as nursery:
-        # The default handler raises in the nursery, so that bytes from one faulty peer that
-        # grpclib does not expect would stop the process.
+        # The default handler raises in the nursery, so that unexpected bytes from one faulty peer
+        # would stop the process.
         loop.set_exception_handler(_log_loop_error)
         state = State(
             limits=limits or Limits(),
@@ -353,9 +359,9 @@
             await _serve(state, handle, address, tls, task_status)
 
         def close(address: identity.Address) -> None:
-            known = state.peers.pop(address, None)
-            if known is not None:
-                _close_peer(known)
+            remote = state.peers.pop(address, None)
+            if remote is not None:
+                _close_peer(remote)
 
         yield Channel(ask=ask, serve=serve, prepare=prepare, close=close)
         nursery.cancel_scope.cancel()
@@ -382,7 +388,7 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the payload of an envelope.
+    """Encode an envelope.
 
     :param envelope: a request or reply.
     """
@@ -390,9 +396,11 @@
 
 
 def decode(payload: bytes) -> Envelope | None:
-    """Return the envelope of a payload, marked malformed if only the sequence can be read.
+    """Decode an envelope; ``status`` is ``MALFORMED`` if only the sequence number can be decoded.
+
+    Returns ``None`` if not even the sequence number can be decoded.
 
-    :param payload: bytes from a peer. ``None`` is returned if not even the sequence can be read.
+    :param payload: bytes from a peer.
     """
     try:
         return DECODER.decode(payload)
@@ -406,9 +414,9 @@
 
 
 def split_payloads(collected: bytearray, limit_bytes: int) -> collections.abc.Iterator[bytes]:
-    """Remove complete gRPC messages from the front and yield their payloads.
+    """Remove complete gRPC messages from the front of a buffer and yield their payloads.
 
-    :param collected: bytes received; an incomplete message stays in it.
+    :param collected: received bytes; an incomplete message stays in the buffer.
     :param limit_bytes: the largest payload accepted.
     :raises ValueError: if a message is larger or compressed.
     """
@@ -427,7 +435,7 @@
 def split_address(address: identity.Address) -> tuple[str, int] | None:
     """Return IP address and port, or ``None`` if the address is not of the form IP:port.
 
-    Names are refused because looking them up needs a thread.
+    Host names are refused because resolving them needs a thread.
 
     :param address: for example ``10.0.0.1:7000`` or ``[::1]:7000``.
     """
@@ -444,7 +452,7 @@
 
 
 def is_silent(link: Link, *, now_s: float, after_s: float) -> bool:
-    """Return whether a stream has delivered nothing for too long although a request waits.
+    """Return whether a stream has delivered nothing for a time although a request waits.
 
     :param link: the stream.
     :param now_s: the current time in seconds.
@@ -478,21 +486,21 @@
 async def _ask(
     state: State, address: identity.Address, body: message.Message | None
 ) -> peer.AskResult:
-    known = _find_peer(state, address)
-    if known.in_flight >= state.limits.in_flight:
+    remote = _find_peer(state, address)
+    if remote.in_flight >= state.limits.in_flight:
         return result.Failure(peer.PeerFailure.OVERLOADED)
-    sequence = next(known.sequence)
+    sequence = next(remote.sequence)
     payload = encode(Envelope(sequence=sequence, body=body))
     if len(payload) > state.limits.message_bytes:
         return result.Failure(peer.PeerFailure.TOO_LARGE)
-    known.in_flight += 1
+    remote.in_flight += 1
     try:
-        link = await _find_link(state, known)
+        link = await _find_link(state, remote)
         if link is None:
             return result.Failure(peer.PeerFailure.REFUSED)
         return await _exchange(link, sequence, payload)
     finally:
-        known.in_flight -= 1
+        remote.in_flight -= 1
 
 
 async def _exchange(link: Link, sequence: int, payload: bytes) -> peer.AskResult:
@@ -512,13 +520,13 @@
 
 def _find_peer(state: State, address: identity.Address) -> Peer:
     now_s = trio.current_time()
-    known = state.peers.get(address)
-    if known is None:
-        # Replaced nodes have new addresses, so unused ones are dropped when a new one appears.
+    remote = state.peers.get(address)
+    if remote is None:
+        # Replaced nodes get new addresses, so unused peers are removed when a new one appears.
         _drop_unused(state, now_s)
-        known = state.peers[address] = Peer(address=address)
-    known.used_at_s = now_s
-    return known
+        remote = state.peers[address] = Peer(address=address)
+    remote.used_at_s = now_s
+    return remote
 
 
 def _drop_unused(state: State, now_s: float) -> None:
@@ -528,82 +536,82 @@
             _close_peer(other)
 
 
-def _close_peer(known: Peer) -> None:
-    for link in list(known.links):
+def _close_peer(remote: Peer) -> None:
+    for link in list(remote.links):
         link.scope.cancel()
 
 
-async def _find_link(state: State, known: Peer) -> Link | None:
-    _retire_silent(state, known)
-    if known.link is not None:
-        return known.link
-    if known.opening is None:
-        if trio.current_time() < known.retry_at_s:
+async def _find_link(state: State, remote: Peer) -> Link | None:
+    _retire_silent(state, remote)
+    if remote.link is not None:
+        return remote.link
+    if remote.opening is None:
+        if trio.current_time() < remote.retry_at_s:
             return None
-        known.opening = trio.Event()
-        state.nursery.start_soon(_run_link, state, known, known.opening)
-    await known.opening.wait()
-    return known.link
+        remote.opening = trio.Event()
+        state.nursery.start_soon(_run_link, state, remote, remote.opening)
+    await remote.opening.wait()
+    return remote.link
 
 
-def _retire_silent(state: State, known: Peer) -> None:
-    link = known.link
-    after_s = min(state.limits.silent_s * 2**known.silent_streams, state.limits.silent_max_s)
+def _retire_silent(state: State, remote: Peer) -> None:
+    link = remote.link
+    after_s = min(state.limits.silent_s * 2**remote.silent_streams, state.limits.silent_max_s)
     if link is None or not is_silent(link, now_s=trio.current_time(), after_s=after_s):
         return
-    log.info("stream to %s delivers nothing for %.3f s; opening another", known.address, after_s)
-    known.silent_streams = min(known.silent_streams + 1, 16)
-    known.link = None
-    # Requests that the peer is slow to answer may still get their replies on the old stream.
+    log.info("stream to %s delivers nothing for %.3f s; opening another", remote.address, after_s)
+    remote.silent_streams = min(remote.silent_streams + 1, 16)
+    remote.link = None
+    # The old stream stays open for replies that the peer is slow to send.
     link.is_retired = True
     if not link.waiters:
         link.scope.cancel()
 
 
-async def _run_link(state: State, known: Peer, opening: trio.Event) -> None:
+async def _run_link(state: State, remote: Peer, opening: trio.Event) -> None:
     link = Link()
-    known.links.add(link)
+    remote.links.add(link)
     link.scope.deadline = trio.current_time() + state.limits.connect_s
 
     def report_open() -> None:
         link.scope.deadline = float("inf")
-        known.link = link
-        known.opening = None
-        known.failures = 0
+        remote.link = link
+        remote.opening = None
+        remote.failures = 0
         opening.set()
 
     with link.scope:
         try:
             await trio_asyncio.aio_as_trio(_carry_requests, loop=state.loop)(
-                state, known, link, report_open
+                state, remote, link, report_open
             )
-        # grpclib and h2 raise many kinds of errors for what a peer sends; each ends its stream.
+        # grpclib and h2 raise many kinds of errors for invalid input; each ends only its stream.
         except (Exception, asyncio.CancelledError) as error:
-            log.info("stream to %s ended: %r", known.address, error)
-    known.links.discard(link)
+            log.info("stream to %s ended: %r", remote.address, error)
+    remote.links.discard(link)
     link.outbox.is_closed = True
-    if known.link is link:
-        known.link = None
-    if known.opening is opening:
-        _record_failed_open(state, known)
-        known.opening = None
+    if remote.link is link:
+        remote.link = None
+    if remote.opening is opening:
+        _record_failed_open(state, remote)
+        remote.opening = None
         opening.set()
     _resolve_all(link, peer.PeerFailure.CLOSED)
 
 
-def _record_failed_open(state: State, known: Peer) -> None:
-    delay_s = min(state.limits.backoff_s * 2**known.failures, state.limits.backoff_max_s)
-    known.failures = min(known.failures + 1, 16)
-    # The random part keeps nodes from reconnecting to a restarted peer at the same moment.
-    known.retry_at_s = trio.current_time() + delay_s * state.random.uniform(0.5, 1.0)
+def _record_failed_open(state: State, remote: Peer) -> None:
+    delay_s = min(state.limits.backoff_s * 2**remote.failures, state.limits.backoff_max_s)
+    remote.failures = min(remote.failures + 1, 16)
+    # The jitter keeps nodes from reconnecting to a restarted peer at the same moment.
+    remote.retry_at_s = trio.current_time() + delay_s * state.random.uniform(0.5, 1.0)
 
 
 async def _carry_requests(
-    state: State, known: Peer, link: Link, report_open: collections.abc.Callable[[], None]
+    state: State, remote: Peer, link: Link, report_open: collections.abc.Callable[[], None]
 ) -> None:
-    endpoint = split_address(known.address)
+    endpoint = split_address(remote.address)
     if endpoint is None:
-        raise OSError(f"not an address of the form IP:port: {known.address!r}")
+        raise OSError(f"not an address of the form IP:port: {remote.address!r}")
     host, port = endpoint
     async with grpclib.client.Channel(host, port, codec=CODEC, ssl=state.tls) as connection:
         method = grpclib.client.StreamStreamMethod(connection, METHOD, bytes, bytes)
@@ -612,13 +620,13 @@
             await stream.recv_initial_metadata()
 
             def deliver(payload: bytes) -> None:
-                known.silent_streams = 0
+                remote.silent_streams = 0
                 _deliver(link, payload)
 
             async with _writing(link.outbox, stream._stream):
                 ended = _receive(stream._stream, deliver, state.limits.message_bytes)
                 report_open()
-                # grpclib wakes a reader of a lost stream only inside this wrapper.
+                # grpclib notifies a reader of a lost stream only inside this wrapper.
                 with stream._wrapper:
                     await ended
 
@@ -630,7 +638,7 @@
         raise ValueError("payload without a sequence number")
     waiter = link.waiters.pop(envelope.sequence, None)
     link.unanswered_since_s = trio.current_time() if link.waiters else None
-    # A reply without a waiter came after its request timed out.
+    # There is no waiter if the request has timed out.
     if waiter is not None:
         if envelope.body is not None:
             waiter.reply = result.Success(envelope.body)
@@ -710,14 +718,14 @@
     try:
         await stream.send_initial_metadata()
         async with _writing(session.outbox, stream._stream):
-            take = functools.partial(_accept_request, state, handle, nursery, session)
-            await _receive(stream._stream, take, state.limits.message_bytes)
+            accept = functools.partial(_accept_request, state, handle, nursery, session)
+            await _receive(stream._stream, accept, state.limits.message_bytes)
     except asyncio.CancelledError:
-        # grpclib leaves the connection open when the server closes, so that the peer would wait.
+        # grpclib leaves the connection open when the server closes, so the peer would keep waiting.
         if stream._stream.closable:
             stream._stream.reset_nowait()
         raise
-    # grpclib and h2 raise many kinds of errors for what a peer sends; each ends its stream.
+    # grpclib and h2 raise many kinds of errors for invalid input; each ends only its stream.
     except Exception as error:
         log.info("stream from %s ended: %r", stream.peer.addr(), error)
         raise grpclib.GRPCError(grpclib.Status.ABORTED, "stream failed") from error
@@ -748,8 +756,8 @@
         raise ValueError("payload without a sequence number")
     if request.body is None:
         _post(session.outbox, encode(request))
-    # Nothing is held back when handlers are busy: a handler may outlast its asker's timeout, and
-    # must not keep later requests from being refused at once.
+    # Requests are not queued while handlers are busy: a handler may outlast the timeout of its
+    # request, and later requests have to be refused at once.
     elif session.running >= limits.in_flight or state.running >= limits.running:
         refusal = Envelope(sequence=request.sequence, body=None, status=Status.OVERLOADED)
         _post(session.outbox, encode(refusal))
@@ -770,7 +778,7 @@
         reply = await handle(request)
     except errors.InvariantError:
         raise
-    # Otherwise one message that meets a fault of a handler would stop every node that gets it.
+    # Otherwise one message that triggers a bug in a handler would stop every node that receives it.
     except Exception:
         log.exception("handler failed on %s", type(request).__name__)
         reply = message.Refused(term=identity.Term(0), reason="internal error")
@@ -779,7 +787,7 @@
         state.running -= 1
     payload = encode(Envelope(sequence=sequence, body=reply))
     if len(payload) > state.limits.message_bytes:
-        log.error("reply %s has %d bytes", type(reply).__name__, len(payload))
+        log.error("reply %s is too large: %d bytes", type(reply).__name__, len(payload))
         reply = message.Refused(term=identity.Term(0), reason="reply too large")
         payload = encode(Envelope(sequence=sequence, body=reply))
     _post(session.outbox, payload)
@@ -790,20 +798,20 @@
     deliver: collections.abc.Callable[[bytes], None],
     limit_bytes: int,
 ) -> asyncio.Future[None]:
-    """Deliver the payloads of a stream as they arrive; the result is done when the stream ends."""
+    """Deliver the payloads of a stream as they arrive; the future is done when the stream ends."""
     assert stream.id is not None
-    former = stream.buffer
+    replaced_buffer = stream.buffer
     inbox = Inbox(
         ack=functools.partial(stream.connection.ack, stream.id),
         deliver=deliver,
         limit_bytes=limit_bytes,
     )
     stream.buffer = inbox
-    # Frames may have come before the stream was handed over.
-    while not former._unacked.empty():
-        frame = former._unacked.get_nowait()
+    # Frames may have arrived before the buffer was replaced.
+    while not replaced_buffer._unacked.empty():
+        frame = replaced_buffer._unacked.get_nowait()
         inbox.add(frame.data, frame.ack_size)
-    if former._eof:
+    if replaced_buffer._eof:
         inbox.eof()
     return inbox.ended
 
@@ -818,16 +826,16 @@
         except StopIteration:
             return
         except Exception as error:
-            # The writer meets the same error and ends the stream.
+            # The writer task gets the same error and ends the stream.
             log.debug("message not sent at once: %r", error)
         else:
-            raise errors.InvariantError("a stream that could send has held a message back")
+            raise errors.InvariantError("send_message blocked although _can_send returned true")
     outbox.payloads.append(payload)
     outbox.filled.set()
 
 
 def _can_send(outbox: Outbox, stream: grpclib.protocol.Stream, size: int) -> bool:
-    """Return whether grpclib can send a message in one frame and without waiting."""
+    """Return whether grpclib can send a message in one frame without waiting."""
     if outbox.payloads or outbox.is_sending or not stream.closable:
         return False
     frame_bytes = PREFIX.size + size
--- a/src/ebonyvalve/connection/liveness.py
+++ b/src/ebonyvalve/connection/liveness.py
@@ -1,4 +1,7 @@
-"""Policy of a connection pool: when to reuse, open, wait and retire, and which ones are silent."""
+"""Policy of the connection pool: when to reuse, open, wait for or close connections.
+
+It also tells silent connections from a target that has stopped.
+"""
 
 import collections.abc
 import dataclasses
@@ -8,17 +11,17 @@
 ConnectionId = typing.NewType("ConnectionId", int)
 Connections = collections.abc.Mapping[ConnectionId, "Connection"]
 
-# A reply later than 4 times the 99th percentile is rare, and below 250 ms a paused process would
-# pass for a silent connection.
+# A connection is overdue after SILENT_FACTOR times the 99th percentile of the latency, as later
+# replies are rare. Below MIN_SILENT_S, a briefly paused process would pass for a silent connection.
 SILENT_FACTOR = 4.0
 MIN_SILENT_S = 0.25
-# Firewalls and switches drop idle flows without notice. Connecting costs 1 ms, a probe 6 ms and a
-# request sent into a silent connection at least 250 ms.
+# Firewalls and switches drop idle flows without notice. Connecting costs 1 ms, a probe 6 ms, and a
+# request sent on a silent connection at least 250 ms.
 MAX_IDLE_S = 5.0
 
 
 class Action(enum.Enum):
-    """What a request does for a connection."""
+    """How a request gets its connection."""
 
     REUSE = "reuse"
     OPEN = "open"
@@ -26,18 +29,23 @@
 
 
 class Phase(enum.Enum):
-    """What a connection does at present."""
+    """State of a connection."""
 
     CONNECTING = "connecting"
     IDLE = "idle"
     # Bytes are expected from the target.
     AWAITING = "awaiting"
-    # The caller has to read or send first, so that missing bytes say nothing about the connection.
+    # The caller has to read or send next, so that missing bytes say nothing about the connection.
     HELD_BY_CALLER = "held-by-caller"
 
 
 class Health(enum.Enum):
-    """Whether a target progresses, as seen from its connections."""
+    """Whether a target sends what it is expected to, judged by all connections to it.
+
+    ``DOUBTFUL``: an overdue connection and no recent bytes; either the connections or the target
+    failed. ``STALLED``: a connection that was opened since then is overdue too, so the target has
+    stopped.
+    """
 
     PROGRESSING = "progressing"
     DOUBTFUL = "doubtful"
@@ -46,11 +54,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Connection:
-    """State of one connection. Times are seconds on the node's clock.
+    """Liveness of one connection. Times are seconds on the node's clock.
 
-    ``progress_at`` is when bytes last came from the target; connecting counts for nothing, since
-    the kernel of a frozen process still accepts. ``asked_at`` is when the target was last expected
-    to send.
+    ``progress_at`` is when bytes last arrived from the target. Connecting doesn't count, as the
+    kernel still accepts connections for a frozen process. ``awaiting_since`` is when the target was
+    last expected to send next.
     """
 
     opened_at: float
@@ -61,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Pick:
-    """The decision for one request. ``retire`` is closed before a connection is opened."""
+    """The decision for one request. Connections in ``retire`` are closed before one is opened."""
 
     action: Action
     connection: ConnectionId | None = None
@@ -69,7 +77,7 @@
 
 
 def record_connected(connection: Connection, now: float) -> None:
-    """Note that the connection is established and idle.
+    """Record that the connection is established and idle.
 
     :param connection: its state.
     :param now: seconds on the node's clock.
@@ -79,7 +87,7 @@
 
 
 def record_awaiting(connection: Connection, now: float) -> None:
-    """Note that the target has to send next: a request was sent, or the caller reads again.
+    """Record that the target has to send next: a request was sent, or the caller reads again.
 
     :param connection: its state.
     :param now: seconds on the node's clock.
@@ -89,7 +97,7 @@
 
 
 def record_held_by_caller(connection: Connection) -> None:
-    """Note that the caller has to read or send before the target can go on.
+    """Record that the caller has to read or send before the target can proceed.
 
     :param connection: its state.
     """
@@ -97,7 +105,7 @@
 
 
 def record_progress(connection: Connection, now: float) -> None:
-    """Note that bytes came from the target.
+    """Record that bytes arrived from the target.
 
     :param connection: its state.
     :param now: seconds on the node's clock.
@@ -106,7 +114,7 @@
 
 
 def record_idle(connection: Connection, now: float) -> None:
-    """Note that a reply is complete and the connection can be reused.
+    """Record that a reply is complete and the connection can be reused.
 
     :param connection: its state.
     :param now: seconds on the node's clock.
@@ -120,14 +128,15 @@
 ) -> Pick:
     """Decide how a request gets a connection.
 
-    The connection that was idle for the shortest time is reused, so that the others grow old and
-    are retired. While a connection is overdue, only those that have progressed since it was asked
-    are reused; the others may have gone silent with it, and a new one shows whether they have.
+    The connection that was idle for the shortest time is reused, so that the others reach
+    ``MAX_IDLE_S`` and are closed. While a connection is overdue, only connections that received
+    bytes or were opened after its wait began are reused. The others may have gone silent with it,
+    and a new connection shows whether they have.
 
-    :param connections: all connections to the target that are not closed.
+    :param connections: all open connections to the target.
     :param now: seconds on the node's clock.
-    :param bound: connections that the target accepts.
-    :param p99_s: 99th percentile of the target's latency, or ``None`` if it is not known.
+    :param max_connections: number of connections that the target accepts.
+    :param p99_s: 99th percentile of the target's latency in seconds, or ``None`` if unknown.
     """
     overdue_since = [
         connection.awaiting_since
@@ -135,8 +144,12 @@
         if connection.phase is Phase.AWAITING and _is_overdue(connection, now, p99_s)
     ]
     trusted_since = max(max(overdue_since, default=float("-inf")), now - MAX_IDLE_S)
-    idle = [name for name in connections if connections[name].phase is Phase.IDLE]
-    idle.sort(key=lambda name: _find_last_use(connections[name]))
+    idle = [
+        connection_id
+        for connection_id in connections
+        if connections[connection_id].phase is Phase.IDLE
+    ]
+    idle.sort(key=lambda connection_id: _find_last_use(connections[connection_id]))
     if idle and _find_last_use(connections[idle[-1]]) > trusted_since:
         return Pick(action=Action.REUSE, connection=idle[-1])
     if len(connections) < max_connections:
@@ -147,27 +160,30 @@
 
 
 def find_silent(connections: Connections, *, now: float, p99_s: float | None) -> list[ConnectionId]:
-    """Return connections without progress for too long while others progressed.
+    """Return overdue connections while other connections to the target receive bytes.
 
-    When none progresses, the target rather than its connections has stopped; see
-    :func:`judge`.
+    If no connection receives bytes, the target has stopped rather than its connections; see
+    :func:`assess_health`.
 
-    :param connections: all connections to the target that are not closed.
+    :param connections: all open connections to the target.
     :param now: seconds on the node's clock.
-    :param p99_s: 99th percentile of the target's latency, or ``None`` if it is not known.
+    :param p99_s: 99th percentile of the target's latency in seconds, or ``None`` if unknown.
     """
-    latest_at = max((other.progress_at for other in connections.values()), default=float("-inf"))
+    latest_progress_at = max(
+        (connection.progress_at for connection in connections.values()), default=float("-inf")
+    )
     return [
-        name
-        for name, connection in connections.items()
+        connection_id
+        for connection_id, connection in connections.items()
         if connection.phase is Phase.AWAITING and _is_overdue(connection, now, p99_s)
-        # Progress made before the silence began says nothing about it.
-        and latest_at > _find_last_activity(connection) + compute_silence_timeout(p99_s) / 2
+        # Bytes that arrived elsewhere before this connection fell silent say nothing about it.
+        and latest_progress_at
+        > _find_last_activity(connection) + compute_silence_timeout(p99_s) / 2
     ]
 
 
 def is_silent(connection: Connection, since: float) -> bool:
-    """Return whether bytes have been awaited since a time, and none have come.
+    """Return whether bytes have been awaited since a time and none have arrived.
 
     :param connection: its state.
     :param since: seconds on the node's clock.
@@ -176,38 +192,41 @@
 
 
 def find_idle(connections: Connections, *, now: float) -> list[ConnectionId]:
-    """Return connections that were idle for too long to be trusted.
+    """Return the connections that were idle for ``MAX_IDLE_S`` or longer.
 
-    :param connections: all connections to the target that are not closed.
+    :param connections: all open connections to the target.
     :param now: seconds on the node's clock.
     """
     return [
-        name
-        for name, connection in connections.items()
+        connection_id
+        for connection_id, connection in connections.items()
         if connection.phase is Phase.IDLE and now - _find_last_use(connection) >= MAX_IDLE_S
     ]
 
 
 def assess_health(connections: Connections, *, now: float, p99_s: float | None) -> Health:
-    """Return whether the target progresses.
+    """Return the health of a target.
 
-    While it is ``DOUBTFUL``, :func:`pick` leads requests to new connections.
+    While it is ``DOUBTFUL``, :func:`pick` opens new connections instead of reusing idle ones.
 
-    :param connections: all connections to the target that are not closed.
+    :param connections: all open connections to the target.
     :param now: seconds on the node's clock.
-    :param p99_s: 99th percentile of the target's latency, or ``None`` if it is not known.
+    :param p99_s: 99th percentile of the target's latency in seconds, or ``None`` if unknown.
     """
     overdue = [
         connection
         for connection in connections.values()
         if connection.phase is Phase.AWAITING and _is_overdue(connection, now, p99_s)
     ]
-    latest_at = max((other.progress_at for other in connections.values()), default=float("-inf"))
-    if not overdue or now - latest_at < compute_silence_timeout(p99_s):
+    latest_progress_at = max(
+        (connection.progress_at for connection in connections.values()), default=float("-inf")
+    )
+    if not overdue or now - latest_progress_at < compute_silence_timeout(p99_s):
         return Health.PROGRESSING
-    # All open connections may go silent at once; only one opened since then tells a stopped target.
-    first_at = min(_find_last_activity(connection) for connection in overdue)
-    if any(connection.opened_at > first_at for connection in overdue):
+    # All open connections may go silent at once. Only an overdue connection that was opened after
+    # the silence began shows that the target has stopped.
+    silence_began_at = min(_find_last_activity(connection) for connection in overdue)
+    if any(connection.opened_at > silence_began_at for connection in overdue):
         return Health.STALLED
     return Health.DOUBTFUL
 
@@ -215,7 +234,7 @@
 def compute_silence_timeout(p99_s: float | None) -> float:
     """Return after how many seconds without bytes a connection is overdue.
 
-    :param p99_s: 99th percentile of the target's latency, or ``None`` if it is not known.
+    :param p99_s: 99th percentile of the target's latency in seconds, or ``None`` if unknown.
     """
     return max(SILENT_FACTOR * (p99_s or 0.0), MIN_SILENT_S)
 
--- a/src/ebonyvalve/connection/pool.py
+++ b/src/ebonyvalve/connection/pool.py
@@ -1,4 +1,4 @@
-"""Reused connections to targets and to other nodes, under the policy of ``liveness``."""
+"""Connection pool for targets and for other nodes; :mod:`liveness` decides what is reused."""
 
 import collections
 import collections.abc
@@ -16,19 +16,19 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.25
-# Each is remembered by the connection.
+# Each connection stores the ids of the requests refused on it; it is closed after this many.
 MAX_REFUSALS = 64
 
 
 class AbortReason(enum.Enum):
-    """Why the node itself ended a request on a connection."""
+    """Why the node itself aborted a request on a connection."""
 
     SILENT = "silent"
     UNREACHABLE = "unreachable"
 
 
 class PoolFailure(enum.Enum):
-    """Why there is no connection."""
+    """Why no connection could be acquired."""
 
     REFUSED = "refused"
     TIMEOUT = "timeout"
@@ -37,13 +37,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class PooledConnection:
-    """One connection with what the policy knows of it.
-
-    ``scope`` covers its present request, ``is_repeatable`` says that this may be sent again,
-    ``is_arriving`` that the head of its answer has come, and ``is_begun`` that its caller was sent
-    a part of the answer. ``cut`` says why that request was ended before its answer was whole, if
-    it was. ``refused`` are the requests that were turned away on the connection; ``is_spent`` says
-    that a further answer on it could not be told from one that it has brought.
+    """A pooled connection, its liveness state and the state of its current request.
+
+    ``scope`` is the cancel scope of the current request. ``is_repeatable`` says that the request
+    may be sent again, ``has_response_head`` that the head of its response has arrived, and
+    ``is_reply_begun`` that a part of the response was passed on to the caller. ``abort_reason`` is
+    set if the node ended the request before its response was complete. ``refused_ids`` are the ids
+    of requests that were refused on the connection. ``must_close`` forbids reuse: another response
+    could not be told apart from a repetition of an earlier one.
     """
 
     connection_id: liveness.ConnectionId
@@ -63,7 +64,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Pool:
-    """Connections by address, never more than ``bound`` to one address."""
+    """Connections by address, at most ``max_connections`` to one address.
+
+    ``freed`` is set, and replaced, when a connection becomes idle or is removed.
+    """
 
     connect: network.Connect
     now: collections.abc.Callable[[], float]
@@ -88,163 +92,165 @@
     max_idle_s: float | None = None,
     request_id: str = "",
 ) -> AcquireResult:
-    """Return a connection, reused or new; wait while the bound is reached.
+    """Return an idle or a new connection; wait while ``max_connections`` are in use.
 
     :param pool: the pool.
-    :param address: the other end.
-    :param p99_s: 99th percentile of the other end's latency in seconds, if known.
-    :param max_idle_s: a connection that was idle for longer is not reused. The other end may have
-        closed it, and a request that cannot be repeated would end with an unknown outcome.
-    :param request_id: the request; it gets no connection on which it was turned away.
+    :param address: the remote address.
+    :param p99_s: 99th percentile of the remote latency in seconds, if known.
+    :param max_idle_s: a connection that was idle for longer, in seconds, is closed instead of
+        reused. The remote end may have closed it, and a request that can't be repeated would end
+        with an unknown outcome.
+    :param request_id: the request; connections on which it was refused are not reused for it.
     """
     while True:
-        slots = pool.connections[address]
+        connections = pool.connections[address]
         picked = liveness.pick(
-            {name: slot.state for name, slot in slots.items()},
+            {conn_id: pooled.state for conn_id, pooled in connections.items()},
             now=pool.now(),
             max_connections=pool.max_connections,
             p99_s=p99_s,
         )
-        for name in picked.retire:
-            await discard(pool, address, slots[name])
+        for conn_id in picked.retire:
+            await discard(pool, address, connections[conn_id])
         if picked.action is liveness.Action.OPEN:
             return await open_new(pool, address)
         if picked.action is liveness.Action.REUSE and picked.connection is not None:
-            slot = slots[picked.connection]
-            idle_s = pool.now() - slot.state.progress_at
-            # Held before anything is awaited, so that no other request takes it.
-            slot.state.phase = liveness.Phase.HELD_BY_CALLER
+            pooled = connections[picked.connection]
+            idle_s = pool.now() - pooled.state.progress_at
+            # The phase changes before the first await, so that no other request acquires it.
+            pooled.state.phase = liveness.Phase.HELD_BY_CALLER
             is_fresh = max_idle_s is None or idle_s <= max_idle_s
-            is_quiet = slot.conn is not None and wire.is_quiet(slot.conn)
-            if is_fresh and is_quiet and request_id not in slot.refused_ids:
-                slot.scope = trio.CancelScope()
-                return result.Success(slot)
-            await discard(pool, address, slot)
+            is_quiet = pooled.conn is not None and wire.is_quiet(pooled.conn)
+            if is_fresh and is_quiet and request_id not in pooled.refused_ids:
+                pooled.scope = trio.CancelScope()
+                return result.Success(pooled)
+            await discard(pool, address, pooled)
             continue
         await pool.freed.wait()
 
 
 async def open_new(pool: Pool, address: identity.Address) -> AcquireResult:
-    """Open a connection.
+    """Open a connection within ``CONNECT_TIMEOUT_S`` and acquire it.
 
     :param pool: the pool.
-    :param address: the other end.
+    :param address: the remote address.
     """
-    slot = PooledConnection(
+    pooled = PooledConnection(
         connection_id=liveness.ConnectionId(next(pool.connection_ids)),
         state=liveness.Connection(opened_at=pool.now()),
         scope=trio.CancelScope(),
     )
-    pool.connections[address][slot.connection_id] = slot
+    pool.connections[address][pooled.connection_id] = pooled
     failure = PoolFailure.TIMEOUT
     try:
         with trio.move_on_after(CONNECT_TIMEOUT_S):
-            slot.conn = wire.open_client(await pool.connect(address))
+            pooled.conn = wire.open_client(await pool.connect(address))
     except (OSError, trio.BrokenResourceError):
         failure = PoolFailure.REFUSED
     finally:
-        if slot.conn is None:
-            _remove(pool, address, slot)
-    if slot.conn is None:
+        if pooled.conn is None:
+            _remove(pool, address, pooled)
+    if pooled.conn is None:
         return result.Failure(failure)
-    liveness.record_connected(slot.state, pool.now())
-    slot.state.phase = liveness.Phase.HELD_BY_CALLER
-    return result.Success(slot)
+    liveness.record_connected(pooled.state, pool.now())
+    pooled.state.phase = liveness.Phase.HELD_BY_CALLER
+    return result.Success(pooled)
 
 
-async def release(pool: Pool, address: identity.Address, slot: PooledConnection) -> None:
-    """Give a connection back; it is closed if its exchange did not end cleanly.
+async def release(pool: Pool, address: identity.Address, pooled: PooledConnection) -> None:
+    """Release a connection; it is closed unless its exchange ended cleanly.
 
     :param pool: the pool.
-    :param address: the other end.
-    :param slot: from :func:`acquire`.
+    :param address: the remote address.
+    :param pooled: from :func:`acquire`.
     """
-    if not try_release(pool, slot):
-        await discard(pool, address, slot)
+    if not try_release(pool, pooled):
+        await discard(pool, address, pooled)
 
 
-def try_release(pool: Pool, slot: PooledConnection) -> bool:
-    """Make a connection idle if its exchange has ended cleanly; return whether it has.
+def try_release(pool: Pool, pooled: PooledConnection) -> bool:
+    """Make a connection idle if its exchange ended cleanly; return whether it did.
 
     :param pool: the pool.
-    :param slot: from :func:`acquire`.
+    :param pooled: from :func:`acquire`.
     """
-    if slot.conn is None or slot.must_close or not wire.is_drained(slot.conn):
+    if pooled.conn is None or pooled.must_close or not wire.is_drained(pooled.conn):
         return False
-    if not wire.recycle(slot.conn):
+    if not wire.recycle(pooled.conn):
         return False
-    liveness.record_idle(slot.state, pool.now())
+    liveness.record_idle(pooled.state, pool.now())
     _notify_freed(pool)
     return True
 
 
-def record_refusal(slot: PooledConnection, request_id: str, *, names_request: bool) -> None:
-    """Note that a request was turned away on a connection.
+def record_refusal(pooled: PooledConnection, request_id: str, *, names_request: bool) -> None:
+    """Record that a request was refused on a connection, so that it is not sent there again.
 
-    :param slot: from :func:`acquire`.
-    :param request_id: the request.
-    :param is_named: whether the refusal names it; others can't be told from each other.
+    :param pooled: from :func:`acquire`.
+    :param request_id: the refused request.
+    :param names_request: whether the refusal carries the request id. A refusal without one can't be
+        told apart from a repetition of it, so that the connection is not reused.
     """
-    slot.refused_ids.add(request_id)
-    if not names_request or len(slot.refused_ids) >= MAX_REFUSALS:
-        slot.must_close = True
+    pooled.refused_ids.add(request_id)
+    if not names_request or len(pooled.refused_ids) >= MAX_REFUSALS:
+        pooled.must_close = True
 
 
-def release_unused(pool: Pool, slot: PooledConnection) -> None:
+def release_unused(pool: Pool, pooled: PooledConnection) -> None:
     """Make a connection idle on which nothing was sent.
 
     :param pool: the pool.
-    :param slot: from :func:`acquire`.
+    :param pooled: from :func:`acquire`.
     """
-    slot.state.phase = liveness.Phase.IDLE
+    pooled.state.phase = liveness.Phase.IDLE
     _notify_freed(pool)
 
 
-async def discard(pool: Pool, address: identity.Address, slot: PooledConnection) -> None:
-    """Close a connection at once.
+async def discard(pool: Pool, address: identity.Address, pooled: PooledConnection) -> None:
+    """Remove a connection from the pool and close it at once.
 
     :param pool: the pool.
-    :param address: the other end.
-    :param slot: from :func:`acquire`.
+    :param address: the remote address.
+    :param pooled: from :func:`acquire`.
     """
-    _remove(pool, address, slot)
-    if slot.conn is not None:
-        await wire.close(slot.conn)
+    _remove(pool, address, pooled)
+    if pooled.conn is not None:
+        await wire.close(pooled.conn)
 
 
 async def close_idle(pool: Pool, address: identity.Address) -> None:
-    """Close the idle connections to an address, after its process was replaced.
+    """Close the idle connections to an address whose process was replaced.
 
     :param pool: the pool.
-    :param address: the other end.
+    :param address: the remote address.
     """
-    for slot in list(pool.connections[address].values()):
-        if slot.state.phase is liveness.Phase.IDLE:
-            await discard(pool, address, slot)
+    for pooled in list(pool.connections[address].values()):
+        if pooled.state.phase is liveness.Phase.IDLE:
+            await discard(pool, address, pooled)
 
 
 async def sweep(pool: Pool, *, p99_s: float | None) -> None:
-    """Retire silent connections, which ends their requests, and those idle for too long.
+    """Abort requests on silent connections, and close connections that were idle for too long.
 
-    Only requests that can be sent again are ended: nothing is gained by ending the others, as their
-    targets may only be slow.
+    Only requests that can still be sent again are aborted. For the others an abort gains nothing,
+    as the remote end may merely be slow.
 
     :param pool: the pool.
     :param p99_s: 99th percentile of the latency in seconds, if known.
     """
-    for address, slots in list(pool.connections.items()):
-        lives = {name: slot.state for name, slot in slots.items()}
-        for name in liveness.find_idle(lives, now=pool.now()):
-            idle = slots.get(name)
-            # It may have been taken or retired while another one was closed.
+    for address, connections in list(pool.connections.items()):
+        states = {conn_id: pooled.state for conn_id, pooled in connections.items()}
+        for conn_id in liveness.find_idle(states, now=pool.now()):
+            idle = connections.get(conn_id)
+            # It may have been acquired or closed during the await of an earlier close.
             if idle is not None and idle.state.phase is liveness.Phase.IDLE:
                 await discard(pool, address, idle)
-        lives = {name: slot.state for name, slot in slots.items()}
-        for name in liveness.find_silent(lives, now=pool.now(), p99_s=p99_s):
-            if not slots[name].is_repeatable or slots[name].is_reply_begun():
+        states = {conn_id: pooled.state for conn_id, pooled in connections.items()}
+        for conn_id in liveness.find_silent(states, now=pool.now(), p99_s=p99_s):
+            if not connections[conn_id].is_repeatable or connections[conn_id].is_reply_begun():
                 continue
-            slots[name].abort_reason = AbortReason.SILENT
-            slots[name].scope.cancel()
+            connections[conn_id].abort_reason = AbortReason.SILENT
+            connections[conn_id].scope.cancel()
             decision.record(
                 log,
                 logging.WARNING,
@@ -252,65 +258,67 @@
                 address=address,
                 reason="no progress while other connections progress",
             )
-        if not slots:
+        if not connections:
             pool.connections.pop(address, None)
 
 
 def find_unresponsive(pool: Pool, *, p99_s: float | None) -> list[identity.Address]:
-    """Return the addresses that have not answered for too long on any connection.
+    """Return the addresses that are not ``PROGRESSING`` (see :func:`liveness.assess_health`).
 
     :param pool: the pool.
     :param p99_s: 99th percentile of the latency in seconds, if known.
     """
     return [
         address
-        for address, slots in pool.connections.items()
+        for address, connections in pool.connections.items()
         if liveness.assess_health(
-            {name: slot.state for name, slot in slots.items()}, now=pool.now(), p99_s=p99_s
+            {conn_id: pooled.state for conn_id, pooled in connections.items()},
+            now=pool.now(),
+            p99_s=p99_s,
         )
         is not liveness.Health.PROGRESSING
     ]
 
 
 def has_progressed(pool: Pool, address: identity.Address, since: float) -> bool:
-    """Return whether bytes have come from an address on any connection since a time.
+    """Return whether bytes were received from an address on any connection after a time.
 
     :param pool: the pool.
-    :param address: the other end.
+    :param address: the remote address.
     :param since: seconds on the node's clock.
     """
     return any(
-        slot.state.progress_at > since for slot in pool.connections.get(address, {}).values()
+        pooled.state.progress_at > since for pooled in pool.connections.get(address, {}).values()
     )
 
 
 def abort(
     pool: Pool, address: identity.Address, *, cutoff: float | None, lenient_cutoff: float | None
 ) -> None:
-    """End the requests that have waited for an address in vain.
+    """Abort the requests that wait for bytes from an address found unreachable.
 
-    An answer that has begun at its caller is left alone: it can't be sent again, so that ending it
-    helps nobody if the other end is only slow.
+    A request whose response is already being passed on to the caller is not aborted: it can't be
+    sent again, so that an abort would only do harm if the remote end is merely slow.
 
     :param pool: the pool.
-    :param address: the other end.
-    :param since: requests that were sent, or got bytes, after this are left alone; ``None`` spares
-        all of them.
-    :param patient_since: the same for those that may not be sent again, and those whose answer is
-        arriving.
+    :param address: the remote address.
+    :param cutoff: seconds on the node's clock; requests that were sent or received bytes after it
+        are not aborted. ``None`` aborts none of them.
+    :param lenient_cutoff: the same for requests that may not be sent again and for those whose
+        response has started to arrive.
     """
-    for slot in pool.connections.get(address, {}).values():
-        is_patient = slot.has_response_head or not slot.is_repeatable
-        silent_since = lenient_cutoff if is_patient else cutoff
-        if silent_since is None or slot.is_reply_begun():
+    for pooled in pool.connections.get(address, {}).values():
+        is_lenient = pooled.has_response_head or not pooled.is_repeatable
+        effective_cutoff = lenient_cutoff if is_lenient else cutoff
+        if effective_cutoff is None or pooled.is_reply_begun():
             continue
-        if liveness.is_silent(slot.state, silent_since):
-            slot.abort_reason = AbortReason.UNREACHABLE
-            slot.scope.cancel()
+        if liveness.is_silent(pooled.state, effective_cutoff):
+            pooled.abort_reason = AbortReason.UNREACHABLE
+            pooled.scope.cancel()
 
 
-def _remove(pool: Pool, address: identity.Address, slot: PooledConnection) -> None:
-    pool.connections[address].pop(slot.connection_id, None)
+def _remove(pool: Pool, address: identity.Address, pooled: PooledConnection) -> None:
+    pool.connections[address].pop(pooled.connection_id, None)
     _notify_freed(pool)
 
 
--- a/src/ebonyvalve/connection/wire.py
+++ b/src/ebonyvalve/connection/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on one stream, by h11, on the server's and on the client's side."""
+"""HTTP/1.1 on one stream for servers and clients, based on h11."""
 
 import dataclasses
 import enum
@@ -14,9 +14,9 @@
 
 READ_BYTES = 65_536
 MAX_HEAD_BYTES = 32_768
-# A read may bring thousands of tiny pieces; other tasks run between so many of them.
+# One read may return thousands of tiny chunks; other tasks get a turn after this many events.
 MAX_EVENTS_BEFORE_YIELD = 32
-# Where ``struct tcp_info`` of Linux holds the milliseconds since data last came.
+# Offset and format of ``tcpi_last_data_recv`` in ``struct tcp_info`` of Linux, in milliseconds.
 LAST_DATA_OFFSET = 52
 LAST_DATA = struct.Struct("=I")
 
@@ -31,10 +31,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Wire:
-    """One connection.
+    """One HTTP/1.1 connection.
 
-    ``progress`` counts received bytes, so that a silent connection can be told from a slow one.
-    ``is_writing`` stays true when a write is cancelled, after which the peer may have a part of it.
+    ``received_bytes`` tells a slow connection from a silent one. ``is_writing`` stays true if a
+    write is cancelled, as the peer may have received a part of it.
     """
 
     stream: trio.abc.Stream
@@ -42,9 +42,9 @@
     received_bytes: int = 0
     is_reused: bool = False
     is_writing: bool = False
-    # Events since other tasks have run.
+    # Events read since other tasks had a turn.
     events_since_yield: int = 0
-    # One task may read a body while another answers; both may have to write.
+    # One task may read a body while another sends the response; both may have to write.
     sending: trio.Lock = dataclasses.field(default_factory=trio.Lock)
 
 
@@ -53,7 +53,7 @@
 
 
 def open_server(stream: trio.abc.Stream) -> Wire:
-    """Return the server's side of a connection.
+    """Return the server side of a connection.
 
     :param stream: an accepted stream.
     """
@@ -62,7 +62,7 @@
 
 
 def open_client(stream: trio.abc.Stream) -> Wire:
-    """Return the client's side of a connection.
+    """Return the client side of a connection.
 
     :param stream: a connected stream.
     """
@@ -73,7 +73,7 @@
 async def receive(wire: Wire) -> EventResult:
     """Return the next event of the connection.
 
-    A peer that closes in the middle of a message gives :attr:`WireFailure.CLOSED`.
+    If the peer closes in the middle of a message, the result is :attr:`WireFailure.CLOSED`.
 
     :param wire: the connection.
     """
@@ -85,8 +85,8 @@
         try:
             event = wire.http.next_event()
         except h11.RemoteProtocolError:
-            is_cut = wire.http.their_state is h11.ERROR and wire.http.trailing_data[1]
-            return result.Failure(WireFailure.CLOSED if is_cut else WireFailure.MALFORMED)
+            is_truncated = wire.http.their_state is h11.ERROR and wire.http.trailing_data[1]
+            return result.Failure(WireFailure.CLOSED if is_truncated else WireFailure.MALFORMED)
         if event is not h11.NEED_DATA:
             return result.Success(event)  # type: ignore[arg-type]
         if wire.http.they_are_waiting_for_100_continue and not await send_continue(wire):
@@ -101,7 +101,7 @@
 
 
 def poll(wire: Wire) -> h11.Event | None:
-    """Return the next event if it has been received already.
+    """Return the next body event if it has been received already, without waiting.
 
     :param wire: the connection.
     """
@@ -111,7 +111,7 @@
     try:
         event = wire.http.next_event()
     except h11.RemoteProtocolError:
-        # The state of the connection keeps the error for whoever receives next.
+        # h11 keeps the error in its state and raises it again in the next receive().
         return None
     return event if isinstance(event, h11.Data | h11.EndOfMessage) else None
 
@@ -119,8 +119,8 @@
 def is_closed_by_peer(wire: Wire) -> bool:
     """Return whether the peer has closed the connection, without waiting.
 
-    The close is seen behind bytes that the peer has sent before it, and these are left unread: they
-    may be a body, the next request, or for another task that reads.
+    The close is detected even behind unread bytes, which stay unread: they may be a body, the next
+    request, or meant for another task that reads.
 
     :param wire: the connection.
     """
@@ -136,9 +136,9 @@
 
 
 def is_quiet(wire: Wire) -> bool:
-    """Return whether the peer has neither closed an idle connection nor sent unasked bytes on it.
+    """Return whether the peer neither closed an idle connection nor sent unsolicited bytes on it.
 
-    :param wire: a client's side on which nothing is asked for.
+    :param wire: a client side without a request in flight.
     """
     stream = wire.stream
     is_readable = isinstance(stream, trio.SocketStream) and stream.socket.is_readable()
@@ -146,18 +146,18 @@
 
 
 def is_drained(wire: Wire) -> bool:
-    """Return whether nothing follows the message that was read last.
+    """Return whether no bytes and no close follow the message that was read last.
 
-    :param wire: a client's side on which one exchange has ended.
+    :param wire: a client side on which one exchange has ended.
     """
     trailing, is_closed = wire.http.trailing_data
     return not trailing and not is_closed
 
 
 def read_data_age(wire: Wire) -> float:
-    """Return how many seconds ago the peer's last bytes came, as far as the kernel says.
+    """Return how many seconds ago the kernel received the peer's last bytes, 0 if unknown.
 
-    A process that is short of time reads them later.
+    A process that is short of CPU time reads them later than they arrive.
 
     :param wire: the connection.
     """
@@ -168,7 +168,7 @@
     try:
         info = stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, size)
     except OSError:
-        # Not TCP, or closed meanwhile.
+        # The socket is not TCP or has been closed.
         return 0.0
     if len(info) < size:
         return 0.0
@@ -180,10 +180,10 @@
     """Write events in one call of the stream.
 
     :param wire: the connection.
-    :param events: what to write, in order.
+    :param events: the events to write, in order.
     """
     try:
-        # Waiting for a free lock would cost a turn of the scheduler for each write.
+        # acquire() yields to the scheduler even if the lock is free, which costs a turn per write.
         if wire.sending.locked():
             await wire.sending.acquire()
         else:
@@ -191,7 +191,7 @@
         try:
             if wire.is_writing:
                 return result.Failure(WireFailure.CLOSED)
-            # From here on the message counts as begun.
+            # The last check for a cancellation before h11 counts the message as begun.
             await trio.lowlevel.checkpoint_if_cancelled()
             parts = [wire.http.send(event) for event in events]
             data = b"".join(part for part in parts if part)
@@ -209,9 +209,9 @@
 
 
 async def send_continue(wire: Wire) -> bool:
-    """Ask for the rest of a body, unless the answer has begun; return whether the peer is there.
+    """Send ``100 Continue`` unless the response has begun; return whether the peer is connected.
 
-    :param wire: a server's side.
+    :param wire: a server side.
     """
     async with wire.sending:
         if wire.http.our_state is not h11.SEND_RESPONSE:
@@ -225,20 +225,22 @@
 
 
 async def wait_closed(wire: Wire) -> None:
-    """Return when the peer closes the connection; keep data that comes before that.
+    """Return when the peer closes the connection; data that arrives before that is kept.
 
-    A body that is still due is left to the task that passes it on.
+    An unread request body is left to the task that forwards it.
 
-    :param wire: a server's side whose request's head has been read.
+    :param wire: a server side on which the head of the request was read.
     """
     if wire.http.their_state is h11.SEND_BODY or not await drain(wire):
         await _wait_for_hangup(wire)
 
 
 async def drain(wire: Wire) -> bool:
-    """Read until the peer closes the connection, or has sent much; return whether it has closed.
+    """Read until the peer closes the connection; return whether it did.
 
-    :param wire: a server's side on which no other task reads.
+    The result is ``False`` once more than ``MAX_HEAD_BYTES`` are buffered.
+
+    :param wire: a server side on which no other task reads.
     """
     while len(wire.http.trailing_data[0]) <= MAX_HEAD_BYTES:
         try:
@@ -254,23 +256,23 @@
 async def _wait_for_hangup(wire: Wire) -> None:
     """Return when the peer closes the connection, without reading.
 
-    Only sockets show that; other streams are waited for in vain.
+    Only sockets report it; for other streams this waits until it is cancelled.
     """
     stream = wire.stream
     if not isinstance(stream, trio.SocketStream):
         await trio.sleep_forever()
         return
     try:
-        poll = select.epoll()
+        epoll = select.epoll()
     except OSError:
-        # Out of descriptors: the request's deadline ends it.
+        # No file descriptor is left; the deadline of the request ends the wait.
         await trio.sleep_forever()
         return
-    # Trio waits for bytes to read, which may be there already. A poll can be waited for like a
-    # socket, and is readable when the close is there.
-    with poll:
-        poll.register(stream.socket.fileno(), select.EPOLLRDHUP)
-        await trio.lowlevel.wait_readable(poll.fileno())
+    # trio waits for a readable socket, but unread bytes may be there already. An epoll descriptor
+    # can be waited for like a socket, and is readable only when the peer has closed.
+    with epoll:
+        epoll.register(stream.socket.fileno(), select.EPOLLRDHUP)
+        await trio.lowlevel.wait_readable(epoll.fileno())
 
 
 def recycle(wire: Wire) -> bool:
@@ -287,10 +289,10 @@
 
 
 def expect_another(wire: Wire) -> bool:
-    """Prepare a client's side for one more answer to the request that it has sent.
+    """Prepare a client side for another response to the request that it has sent.
 
-    The answer that was just read to its end belonged to an earlier request. Returns whether the
-    connection can go on.
+    The response that was read last belonged to an earlier request. Returns whether the connection
+    can still be used.
 
     :param wire: a connection whose request has been sent in full.
     """
@@ -298,7 +300,7 @@
         return False
     trailing, is_closed = wire.http.trailing_data
     http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-    # h11 ties an answer to a request of its own; the real one is on its way already.
+    # h11 accepts a response only after a request of its own; the real request was sent already.
     http.send(h11.Request(method="GET", target="/", headers=[("host", "-")]))
     http.send(h11.EndOfMessage())
     if trailing:
@@ -308,7 +310,7 @@
 
 
 async def close(wire: Wire) -> None:
-    """Close the connection at once; an unfinished message stays without its end.
+    """Close the connection at once, without completing a message that is being sent.
 
     :param wire: the connection.
     """
@@ -316,9 +318,9 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the value of the first header of a name.
+    """Return the value of the first header with a name.
 
-    :param headers: pairs with names in lower case.
+    :param headers: pairs of name and value, names in lower case.
     :param name: the name in lower case.
     """
     for key, value in headers:
