--- a/src/ebonyvalve/platform/admin.py
+++ b/src/ebonyvalve/platform/admin.py
@@ -1,4 +1,4 @@
-"""Answers operators who ask a running node: metrics, status, explanation of a request."""
+"""Pages of a running node for operators: metrics, status, explanation of a request."""
 
 import urllib.parse
 
@@ -15,10 +15,10 @@
 
 
 def answer(entry: origin.Origin, target: str) -> http.Reply:
-    """Return the answer to an operator's question.
+    """Return the page that an operator requests.
 
     :param entry: the state.
-    :param target: path and query of the question.
+    :param target: path and query of the request.
     """
     path, _, query = target.partition("?")
     if path == METRICS_PATH:
@@ -32,7 +32,7 @@
 
 
 def _explain(entry: origin.Origin, query: str) -> http.Reply:
-    """Answer for a request of which ``host``, ``path`` and perhaps ``key`` are given."""
+    """Explain how a request with a ``host``, a ``path`` and maybe a ``key`` would be routed."""
     params = dict(urllib.parse.parse_qsl(query))
     key = params.get("key", "")
     key_slot = decoding.read_count(key, max_value=identity.LAST_SLOT)
--- a/src/ebonyvalve/platform/announcement.py
+++ b/src/ebonyvalve/platform/announcement.py
@@ -1,4 +1,7 @@
-"""Decodes the status reports of targets and encodes the answers to them."""
+"""Codec of the status reports that targets send to the node beside them, and of the answers.
+
+The field names of the structs are the platform's.
+"""
 
 import dataclasses
 import typing
@@ -10,19 +13,20 @@
 from ebonyvalve.process.keyspace import grant
 
 PATH = "/instances/"
-# A start after the year 5000 would hide every later lifetime.
-MAX_BORN_MS = 10**14
+# In the year 5138. The latest start wins, so that one in the far future would hide every later
+# lifetime.
+MAX_STARTED_AT_MS = 10**14
 MAX_COLD_S = 86_400.0
-BornMs = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_BORN_MS)]
+StartedAtMs = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_STARTED_AT_MS)]
 ColdSeconds = typing.Annotated[float, msgspec.Meta(ge=-MAX_COLD_S, le=MAX_COLD_S)]
 Slots = typing.Annotated[int, msgspec.Meta(ge=0, le=decoding.MAX_SLOTS)]
-# Goes into the service's ledger, whose row has a bounded size.
+# Stored in the service's ledger, whose row has a limited size.
 Handover = typing.Annotated[str, msgspec.Meta(max_length=decoding.MAX_NAME_BYTES)]
 STATES = {"ready": member.TargetState.READY, "draining": member.TargetState.LEAVING}
 
 
 class Info(msgspec.Struct, kw_only=True):
-    """What a target is. ``backend`` is its service."""
+    """Static properties of a target. ``backend`` is its service, ``slots`` its concurrency."""
 
     backend: str
     slots: Slots
@@ -30,7 +34,11 @@
 
 
 class Status(msgspec.Struct, kw_only=True):
-    """How a target does. ``seq`` increases with each report of one lifetime."""
+    """Current state of a target.
+
+    ``seq`` increases with each report of one lifetime. ``cold_left_s`` is how many seconds of its
+    slow start remain.
+    """
 
     state: str
     seq: decoding.Count
@@ -38,37 +46,42 @@
 
 
 class Document(msgspec.Struct, kw_only=True):
-    """A status report. ``born`` is the Unix millisecond of the target's start."""
+    """A status report.
+
+    ``born`` is the Unix time of the target's start in milliseconds. ``holds`` are the key ranges
+    that the target serves, as first key, last key and fence. ``released`` are those that it has
+    given up, as first key, last key and handover data for their next holder.
+    """
 
     address: str
     info: Info
     status: Status
-    born: BornMs = 0
+    born: StartedAtMs = 0
     holds: list[tuple[decoding.KeySlot, decoding.KeySlot, decoding.Count]] = []
     released: list[tuple[decoding.KeySlot, decoding.KeySlot, Handover]] = []
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Announcement:
-    """A decoded report. ``born_ms`` orders the lifetimes of targets at one address."""
+    """A decoded status report. ``started_at_ms`` orders the lifetimes of targets at one address."""
 
     report: grant.Report
     service: identity.ServiceId
     address: identity.Address
-    born_ms: int
+    started_at_ms: int
     slots: int
     state: member.TargetState
     cold_left_s: float
 
 
 def decode(name: str, body: bytes) -> Announcement | str:
-    """Return a report, or what is wrong with it.
+    """Decode a status report; return why it is invalid otherwise.
 
     :param name: the target's id, from the path.
     :param body: the report.
     """
     if not decoding.is_name(name):
-        return f"report of {name[: decoding.MAX_CAUSE_CHARS]!r}: this is no name"
+        return f"report of {name[: decoding.MAX_CAUSE_CHARS]!r}: the name is not valid"
     decoded = decoding.decode(body, Document, find_fault)
     if not isinstance(decoded, result.Success):
         return f'report of "{name}": {decoded.failure()}'
@@ -82,7 +95,7 @@
         ),
         service=identity.ServiceId(wire.info.backend),
         address=identity.Address(wire.address),
-        born_ms=wire.born,
+        started_at_ms=wire.born,
         slots=max(1, wire.info.slots),
         state=STATES[wire.status.state],
         cold_left_s=max(0.0, wire.status.cold_left_s),
@@ -90,7 +103,7 @@
 
 
 def find_fault(wire: Document) -> str:
-    """Return what is wrong with the texts of a report, or an empty text.
+    """Return which text field of a report is invalid, or an empty string.
 
     :param wire: the report.
     """
@@ -101,27 +114,27 @@
     return ""
 
 
-def build_lifetime(name: str, born_ms: int) -> identity.Lifetime:
-    """Return the name of one lifetime of a target.
+def build_lifetime(name: str, started_at_ms: int) -> identity.Lifetime:
+    """Return the identifier of one lifetime of a target.
 
     :param name: the target's id.
-    :param born_ms: the Unix millisecond of its start.
+    :param started_at_ms: the Unix time of its start in milliseconds.
     """
-    return identity.Lifetime(f"{name}@{born_ms}")
+    return identity.Lifetime(f"{name}@{started_at_ms}")
 
 
 def read_target_id(lifetime: identity.Lifetime) -> str:
     """Return the target's id.
 
-    :param lifetime: made by :func:`name_lifetime`.
+    :param lifetime: made by :func:`build_lifetime`.
     """
     return lifetime.rpartition("@")[0]
 
 
 def encode(issued: grant.Grant | None) -> bytes:
-    """Return the answer to a report.
+    """Encode the answer to a status report.
 
-    :param given: what the target is to hold, or ``None`` for a service without keys.
+    :param issued: the key ranges granted to the target, or ``None`` for a service without keys.
     """
     if issued is None or issued.spans is None:
         return b"{}"
--- a/src/ebonyvalve/platform/configuration.py
+++ b/src/ebonyvalve/platform/configuration.py
@@ -1,4 +1,7 @@
-"""Decodes the operator's configuration of the platform into the product's objects."""
+"""Decodes the operator's configuration into routes, service policies and limits.
+
+The field names of the structs are the platform's.
+"""
 
 import re
 import typing
@@ -23,14 +26,14 @@
 
 
 class SplitEntry(msgspec.Struct, kw_only=True):
-    """One service of a split route."""
+    """One service of a split route, with its share of the requests."""
 
     backend: str
     weight: Weight
 
 
 class RouteSpec(msgspec.Struct, kw_only=True):
-    """A route. ``goal_s`` is the latency objective; ``type`` says what may be repeated."""
+    """A route. ``goal_s`` is the latency objective; ``type`` says if requests may be repeated."""
 
     hostname: str
     prefix: str
@@ -44,7 +47,11 @@
 
 
 class ServiceSpec(msgspec.Struct, kw_only=True):
-    """A service. ``sharded`` says that its keys have one owner each."""
+    """A service. With ``sharded``, each key has one owner.
+
+    For ``cold_s`` seconds after its start, a target can take only ``cold_per_s`` requests a second.
+    Keys that arrive without a handover are slow for ``warmup_s`` seconds.
+    """
 
     health_path: str = "/"
     max_conns: decoding.Count = 100
@@ -55,7 +62,7 @@
 
 
 class LimitsSpec(msgspec.Struct, kw_only=True):
-    """What callers may send."""
+    """Limits on what callers may send."""
 
     max_header_bytes: decoding.Count = 16_384
     max_body_bytes: decoding.Count = 67_108_864
@@ -70,7 +77,7 @@
 
 
 class Resource(msgspec.Struct, kw_only=True):
-    """One entry of the configuration; ``res_type`` says what its ``spec`` is."""
+    """One entry of the configuration; ``res_type`` determines the type of ``spec``."""
 
     res_type: str
     metadata: Meta = msgspec.field(default_factory=Meta)
@@ -85,9 +92,9 @@
 
 
 def decode(body: bytes) -> traffic.TrafficConfig | list[str]:
-    """Return the configuration, or every reason for which it can't be applied.
+    """Decode a configuration; return every reason why it can't be applied otherwise.
 
-    :param body: the operator's document.
+    :param body: the operator's JSON document.
     """
     decoded = decoding.decode(body, Document, find_fault)
     if not isinstance(decoded, result.Success):
@@ -112,17 +119,17 @@
 
 
 def find_fault(document: Document) -> str:
-    """Return what is wrong with the texts of a configuration, or an empty text.
+    """Return which text field of a configuration is invalid, or an empty string.
 
     :param document: the configuration.
     """
     if not VERSION_PATTERN.match(document.version):
         return f"version {document.version!r} is not 1 to 8 hexadecimal digits"
     for resource in document.resources:
-        # Names of routes and services go into headers between nodes.
+        # Nodes send names of routes and services in HTTP headers.
         name = resource.metadata.name
         if resource.res_type in ("routes", "services") and not decoding.is_name(name):
-            return f"{resource.res_type} {name!r}: this is no name"
+            return f"{resource.res_type} {name!r}: the name is not valid"
     return ""
 
 
--- a/src/ebonyvalve/platform/daemon.py
+++ b/src/ebonyvalve/platform/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on the users' platform: wires the product's parts to the platform's interfaces."""
+"""The daemon on the users' platform: connects the core modules to the platform's interfaces."""
 
 import collections.abc
 import dataclasses
@@ -42,21 +42,22 @@
 METRICS_VARIABLE = "EBONYVALVE_METRICS_PORT"
 READY_PATH = "/readyz"
 LAST_PORT = 65_535
-# Two misses of one probe a second take a node out; requests may still come until then.
+# The platform probes once a second and removes a node after two failures; until then requests may
+# still arrive.
 UNREADY_S = 2.3
-# What is left of the grace for ending the process itself.
+# The part of the grace period that is kept for the exit of the process.
 EXIT_MARGIN_S = 0.5
 SWEEP_INTERVAL_S = 0.25
 DRAIN_POLL_INTERVAL_S = 0.02
 MAX_CONNECTIONS = 2000
-# Of a message of another node, which gives up sooner.
+# Limits of a message from another node, which itself gives up sooner.
 MAX_PUSH_BYTES = 1_048_576
 PUSH_TIMEOUT_S = 2.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Daemon:
-    """Everything that the process runs."""
+    """The parts that the process runs."""
 
     node: node_module.Node
     reconciler: records.Reconciler
@@ -69,7 +70,7 @@
 
 
 def main() -> None:
-    """Run the daemon until it is told to stop."""
+    """Run the daemon until a signal stops it."""
     out = output.open_output(sys.stdout.fileno(), timer.read_boot_clock)
     output.configure(out, decision.LogForm.KEY_VALUE, os.environ.get(LEVEL_VARIABLE, "INFO"))
     path = os.environ.get(SETTINGS_VARIABLE, "")
@@ -92,7 +93,7 @@
 
     :param place: from the settings.
     :param read_settings: returns the content of the settings file, if that may change.
-    :param task_status: gets the daemon when its tasks have begun.
+    :param task_status: receives the daemon when its tasks have been started.
     """
     daemon = build(place)
     decision.record(log, logging.INFO, "start", node=place.node, service=place.service)
@@ -217,7 +218,7 @@
 
     :param entry: the state.
     :param call: the request.
-    :param caller: who gets the answer.
+    :param caller: the connection that gets the answer.
     """
     head = dialect.read_head(call)
     return await origin.handle(entry, call, caller, head)
@@ -229,18 +230,18 @@
     call: exchange.Call,
     caller: exchange.Caller,
 ) -> outcome.Outcome:
-    """Answer a request that another node has sent here.
+    """Answer a request from another node: a forwarded request (hop) or a message.
 
     :param entry: the state.
-    :param keeper: takes the ledgers that other nodes send.
+    :param reconciler: receives the ledgers that other nodes push.
     :param call: the request.
     :param caller: the other node.
     """
-    # A hop has the path that its caller chose.
+    # A hop has the path of the original request, which may look like that of a message.
     if not hop_headers.is_hop(call.headers):
-        answered = await handle_message(entry, reconciler, call, caller)
-        if answered is not None:
-            return answered
+        handled = await handle_message(entry, reconciler, call, caller)
+        if handled is not None:
+            return handled
     hop_headers.record_version(entry.node, call.headers)
     if not hop_headers.parse_headers(call, call.headers):
         refusal = outcome.refuse(outcome.Reason.BAD_REQUEST)
@@ -256,10 +257,10 @@
     call: exchange.Call,
     caller: exchange.Caller,
 ) -> outcome.Outcome | None:
-    """Answer a message of another node, or return ``None`` if it is none.
+    """Answer a message from another node; return ``None`` if the request isn't a message.
 
     :param entry: the state.
-    :param keeper: takes the ledgers that other nodes send.
+    :param reconciler: receives the ledgers that other nodes push.
     :param call: the message.
     :param caller: the other node.
     """
@@ -279,10 +280,10 @@
     call: exchange.Call,
     caller: exchange.Caller,
 ) -> outcome.Outcome:
-    """Take what another node tells: a ledger, or what its target was running when it crashed.
+    """Apply a pushed message: a ledger, or the requests that a target was running when it crashed.
 
     :param entry: the state.
-    :param keeper: takes ledgers.
+    :param reconciler: receives ledgers.
     :param call: the message.
     :param caller: the other node.
     """
@@ -305,11 +306,11 @@
 
 
 async def acknowledge(caller: exchange.Caller, status: int, body: bytes = b"") -> outcome.Outcome:
-    """Answer another node.
+    """Answer a message from another node.
 
     :param caller: the other node.
     :param status: the status code.
-    :param body: what it asked for, if anything.
+    :param body: the body of the answer, empty for none.
     """
     headers = [(b"content-length", str(len(body)).encode())] if body else []
     if await caller.reply(status, headers) and (not body or await caller.write(body)):
@@ -318,7 +319,7 @@
 
 
 def find_limits(current: traffic.CurrentTraffic, _: identity.ServiceId) -> tuple[float, int]:
-    """Return the default deadline in seconds and the largest body in bytes.
+    """Return the default deadline in seconds and the maximum body size in bytes.
 
     :param current: the configuration in force.
     """
@@ -328,28 +329,28 @@
 
 
 def build_ready_server(daemon: Daemon) -> network.Serve:
-    """Return what tells the platform whether callers may come, and operators what they ask.
+    """Return the server of the readiness probe and of the pages for operators.
 
     :param daemon: the daemon.
     """
 
     async def respond(request: http.Request) -> http.Reply:
         if request.path != READY_PATH:
-            # Most processes are never asked, and memory is priced.
+            # Imported on demand to save memory, as most processes never serve these pages.
             from ebonyvalve.platform import admin
 
             return admin.answer(daemon.origin, request.path)
-        is_fine = node_module.is_ready(daemon.node)
-        return http.Reply(status=200 if is_fine else 503, body=b"{}")
+        is_ready = node_module.is_ready(daemon.node)
+        return http.Reply(status=200 if is_ready else 503, body=b"{}")
 
     return functools.partial(http.serve, respond)
 
 
 def find_metrics_address(place: place_module.Place, port: str) -> identity.Address | None:
-    """Return where the metrics are served besides the ready address, if a port is set.
+    """Return the second address for metrics, or ``None`` if no valid port is set.
 
     :param place: from the settings.
-    :param port: of the environment, or empty.
+    :param port: the value of the environment variable, or empty.
     """
     if not port.isdecimal() or int(port) > LAST_PORT:
         return None
@@ -358,10 +359,10 @@
 
 
 async def listen_for_metrics(address: identity.Address, serve: network.Serve) -> None:
-    """Serve the metrics on a port of their own; the node works without them.
+    """Serve the metrics on a port of their own; if that fails, the node runs without it.
 
-    :param address: where.
-    :param serve: answers.
+    :param address: the address to listen on.
+    :param serve: answers requests.
     """
     try:
         await sockets.listen(address, serve)
@@ -370,7 +371,9 @@
 
 
 async def sweep(daemon: Daemon) -> None:
-    """Retire silent connections, until cancelled.
+    """Check connections to targets and nodes periodically, until cancelled.
+
+    It also applies the idle time-out of the current configuration to callers.
 
     :param daemon: the daemon.
     """
@@ -386,10 +389,11 @@
 
 
 async def stop(daemon: Daemon) -> None:
-    """Let callers go elsewhere and requests in flight end.
+    """Shut down gracefully: callers leave first, then requests in flight complete.
 
-    The target goes on running and can only be reached here, so that it gets work until callers
-    have gone elsewhere. Then new work is refused and what is in flight is taken to its end.
+    The target keeps running and can only be reached through this node, so it gets requests until
+    callers have moved to other nodes. After that, new requests are refused and those in flight are
+    completed within the grace period.
 
     :param daemon: the daemon.
     """
@@ -399,9 +403,9 @@
         await node_module.pause(daemon.node, UNREADY_S)
         daemon.node.is_ending = True
         front.stop(daemon.callers)
-        polled = timer.subscribe(daemon.timer, period_s=DRAIN_POLL_INTERVAL_S)
+        poll_ticks = timer.subscribe(daemon.timer, period_s=DRAIN_POLL_INTERVAL_S)
         while daemon.callers.active_requests or daemon.peers.active_requests:
-            await timer.tick(daemon.timer, polled)
+            await timer.tick(daemon.timer, poll_ticks)
     delivery.lift_shields(daemon.origin.delivery)
 
 
--- a/src/ebonyvalve/platform/dialect.py
+++ b/src/ebonyvalve/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers on requests and answers."""
+"""The platform's HTTP headers on requests and answers."""
 
 import collections.abc
 
@@ -10,25 +10,25 @@
 from ebonyvalve.request import correlation, delivery, exchange, front, hop_headers, origin
 
 REQUEST_ID = b"x-attempt-id"
-# Milliseconds that the caller waits; a target stops work at what it receives.
+# Milliseconds that the caller still waits; a target stops work on the request after this time.
 BUDGET_MS = b"x-deadline-ms"
-# Proves that an answer is the target's own.
+# Shows that a successful answer comes from the target itself.
 SEAL = b"x-response-seal"
 EXPECT_TARGET = b"x-expect-instance"
 NOT_RUN = b"x-not-executed"
-# The service of the VM on which the request began.
+# The service of the VM on which the request originated.
 CALLER_SERVICE = b"x-caller-service"
 SHARD_KEY = b"x-shard-key"
 CONTENT_ENCODING = b"content-encoding"
 MISDIRECTED = 421
-# To callers these promise that the request has not run and never will.
+# With these statuses a caller may rely on it that the request has not run and never will.
 NOT_RUN_STATUSES = frozenset({408, MISDIRECTED, 429, 503})
-# Set by the router on the way to a target, whatever a caller sent.
+# The node sets these on requests to a target and removes them from what callers send.
 ROUTER_HEADERS = {BUDGET_MS, EXPECT_TARGET, CALLER_SERVICE}
 
 
 def build_dialect() -> delivery.Dialect:
-    """Return how targets are spoken to."""
+    """Return the functions that build requests to targets and interpret their answers."""
     return delivery.Dialect(
         build_headers=build_headers, classify_reply=classify_reply, correlate=correlate
     )
@@ -37,11 +37,11 @@
 def build_headers(
     call: exchange.Call, lifetime: identity.Lifetime, budget_s: float
 ) -> exchange.Headers:
-    """Return the headers that the router sets on a request to a target.
+    """Return the headers that the node sets on a request to a target.
 
     :param call: the request, with its rules.
-    :param lifetime: the target that is meant.
-    :param budget_s: seconds that are left for it.
+    :param lifetime: the lifetime of the target that is to handle the request.
+    :param budget_s: seconds that remain for the request.
     """
     rules = call.rules
     assert rules is not None
@@ -53,7 +53,10 @@
 
 
 def classify_reply(status: int, headers: exchange.Headers) -> delivery.ReplyKind:
-    """Say what an answer of the target is.
+    """Return what an answer of the target means.
+
+    An answer with a content coding, a successful one without a seal, and one with a status of
+    ``NOT_RUN_STATUSES`` but without the header ``NOT_RUN`` can't be passed on to the caller.
 
     :param status: its status code.
     :param headers: its headers, with names in lower case.
@@ -70,21 +73,21 @@
 
 
 def correlate(headers: exchange.Headers, request_id: str) -> correlation.Correlation:
-    """Return which request an answer names.
+    """Return whether an answer carries the id of the request that was sent.
 
-    Targets name the request in what they answer. A sealed answer that names none can't be told
-    from a second answer to an earlier request.
+    Targets repeat the request id in their answers. A sealed answer without an id can't be told
+    apart from a second answer to an earlier request.
 
     :param headers: its headers.
     :param request_id: the request that was sent.
     """
-    found = wire.find_header(headers, REQUEST_ID)
-    if found is None:
+    answered_id = wire.find_header(headers, REQUEST_ID)
+    if answered_id is None:
         is_sealed = wire.find_header(headers, SEAL) is not None
         return correlation.Correlation.MISMATCH if is_sealed else correlation.Correlation.UNNAMED
     return (
         correlation.Correlation.MATCH
-        if found == request_id.encode("latin-1")
+        if answered_id == request_id.encode("latin-1")
         else correlation.Correlation.MISMATCH
     )
 
@@ -92,7 +95,7 @@
 def build_parse(
     now: collections.abc.Callable[[], float],
 ) -> collections.abc.Callable[[front.Front, h11.Request], exchange.Call | str]:
-    """Return the reader of requests' heads.
+    """Return a function that parses the heads of requests.
 
     :param now: returns the time in seconds.
     """
@@ -118,7 +121,7 @@
 
 
 def read_head(call: exchange.Call) -> origin.RequestHead:
-    """Return what the router needs of a request's head, and remove what it sets itself.
+    """Return the routing fields of a request's head, and remove headers that the node itself sets.
 
     :param call: the request; its headers are replaced.
     """
@@ -146,5 +149,5 @@
     try:
         return None if value is None else max(0.0, float(value)) / 1000
     except ValueError:
-        # A budget that can't be read bounds nothing; the route's time-out still does.
+        # Without a valid budget, only the time-out of the route applies.
         return None
--- a/src/ebonyvalve/platform/gossip.py
+++ b/src/ebonyvalve/platform/gossip.py
@@ -1,6 +1,7 @@
-"""Tells the operator's rows on from node to node.
+"""Passes the operator's rows of the store (configuration, evacuated zones) from node to node.
 
-The store may refuse some nodes, and sends a configuration unpacked over links that are narrow.
+The store may refuse some nodes, and it sends a configuration uncompressed over links of limited
+bandwidth.
 """
 
 import logging
@@ -19,18 +20,18 @@
 log = logging.getLogger(__name__)
 
 GOSSIP_PATH = "/ebonyvalve/operator/"
-# A configuration of 16 MiB is far above the store's bound for a row.
+# Limit of a decompressed update. 16 MiB is far above the store's limit for a row.
 MAX_BYTES = 16 * 1024 * 1024
-# Bounds a transfer over a narrow link that is busy.
+# Allows for a transfer over a busy link of low bandwidth.
 PULL_TIMEOUT_S = 5.0
-# Another node is asked after this, or twice this.
+# Another node is asked after 1 to 2 times this long; see _pull_from_peers.
 PULL_INTERVAL_S = 0.4
 MAX_CONCURRENT_PULLS = 3
 OK = 200
 
 
 class GossipRow(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
-    """One row of the operator."""
+    """One row of the operator. It is encoded as an array, so the order of the fields matters."""
 
     key: str
     version: decoding.Count
@@ -39,7 +40,10 @@
 
 
 class GossipUpdate(msgspec.Struct, kw_only=True, frozen=True):
-    """Rows that are complete up to a version, since the one asked for or from the beginning."""
+    """The operator's rows up to ``version``.
+
+    With ``is_whole`` these are all rows, otherwise those after the version that was asked for.
+    """
 
     version: decoding.Count
     is_whole: bool
@@ -47,15 +51,16 @@
 
 
 def encode_update(node: node_module.Node, path: str) -> bytes | None:
-    """Return the operator's rows that another node lacks, or ``None`` for an unreadable question.
+    """Return the compressed rows that another node lacks, or ``None`` if its request is invalid.
 
     :param node: the node.
-    :param path: names the newest version that the other node has.
+    :param path: the request's path, which ends with the newest version that the other node has.
     """
     known_version = decoding.read_count(path.removeprefix(GOSSIP_PATH).encode())
     if known_version is None:
         return None
-    # A row that was removed before is only noticed by its absence.
+    # This node doesn't know which rows were removed before operator_removals_since, so the other
+    # node has to find them by their absence from the full set.
     is_whole = known_version < node.operator_removals_since
     rows = [
         GossipRow(key=row.name.key, version=row.version, is_removed=row.is_removed, value=row.value)
@@ -67,11 +72,11 @@
 
 
 def apply_update(node: node_module.Node, current: traffic.CurrentTraffic, body: bytes) -> bool:
-    """Apply what another node tells; return whether it could be read.
+    """Apply an update from another node; return whether it could be decoded.
 
     :param node: the node.
     :param current: gets the configuration.
-    :param body: the answer to the question of :func:`tell`.
+    :param body: made by :func:`encode_update`.
     """
     decoded = decoding.decode_compressed(body, GossipUpdate, max_bytes=MAX_BYTES)
     if not isinstance(decoded, result.Success):
@@ -87,15 +92,15 @@
         )
         for row in update.rows
     )
-    read = table.Rows(rows=rows, version=update.version, clock=None)
-    operator.apply(node, current, read, is_whole=update.is_whole, complete_to=update.version)
+    received = table.Rows(rows=rows, version=update.version, clock=None)
+    operator.apply(node, current, received, is_whole=update.is_whole, complete_to=update.version)
     return True
 
 
 async def pull_updates(
     node: node_module.Node, current: traffic.CurrentTraffic, connect: network.Connect
 ) -> None:
-    """Ask other nodes for rows of the operator that they have and the store has not told here.
+    """Fetch rows that other nodes advertise and the store has not delivered, until cancelled.
 
     :param node: the node.
     :param current: gets the configuration.
@@ -114,13 +119,13 @@
 async def _pull_from_peers(
     node: node_module.Node, current: traffic.CurrentTraffic, connect: network.Connect
 ) -> None:
-    """Ask one node after the other until the rows are here, from wherever.
+    """Ask one node after the other until the rows have arrived, from a node or from the store.
 
-    An answer over a busy link takes longer than another node is waited for, so that it goes on
-    beside the next question.
+    A transfer over a busy link may take longer than the pause before the next node is asked, so it
+    continues concurrently, up to ``MAX_CONCURRENT_PULLS``.
     """
     before = node.operator_version
-    asked: set[identity.NodeId] = set()
+    pulling: set[identity.NodeId] = set()
     async with trio.open_nursery() as nursery:
 
         async def watch() -> None:
@@ -128,28 +133,28 @@
                 await node.changed.wait()
             nursery.cancel_scope.cancel()
 
-        async def ask(teller: identity.NodeId) -> None:
-            asked.add(teller)
-            await _pull_from(node, current, connect, teller)
-            asked.discard(teller)
-            if node_module.is_operator_stale(node) and not asked:
-                # No node could tell, and the store's answer may be lost.
+        async def pull(source: identity.NodeId) -> None:
+            pulling.add(source)
+            await _pull_from(node, current, connect, source)
+            pulling.discard(source)
+            if node_module.is_operator_stale(node) and not pulling:
+                # No node could provide the rows, and the store's answer may be lost.
                 node_module.restart_operator_follow(node)
 
         nursery.start_soon(watch)
         while True:
             source = choose_source(node)
-            if source is not None and source not in asked and len(asked) < MAX_CONCURRENT_PULLS:
-                nursery.start_soon(ask, source)
+            if source is not None and source not in pulling and len(pulling) < MAX_CONCURRENT_PULLS:
+                nursery.start_soon(pull, source)
             await node_module.pause(node, PULL_INTERVAL_S * (1 + node.draw()))
             node.advertised_by = None
     if node.operator_version > before:
-        # The store need not go on with what has come.
+        # The store need not continue to send the rows that have arrived.
         node_module.restart_operator_follow(node)
 
 
 def choose_source(node: node_module.Node) -> identity.NodeId | None:
-    """Return the node that named the news, or any other.
+    """Return the node that advertised the newest version, or a random other node.
 
     :param node: the node.
     """
@@ -165,14 +170,16 @@
     connect: network.Connect,
     source: identity.NodeId,
 ) -> None:
-    known = node.members.get(source)
-    if known is None:
-        # It has left since it was chosen.
+    member = node.members.get(source)
+    if member is None:
+        # The node has left since it was chosen.
         return
     request = http.Request(method="GET", path=f"{GOSSIP_PATH}{node.operator_version}")
-    sent = await http.fetch(connect, known.address, request, timeout_s=PULL_TIMEOUT_S)
-    reply = sent.unwrap() if isinstance(sent, result.Success) else None
-    is_taken = reply is not None and reply.status == OK and apply_update(node, current, reply.body)
+    fetched = await http.fetch(connect, member.address, request, timeout_s=PULL_TIMEOUT_S)
+    reply = fetched.unwrap() if isinstance(fetched, result.Success) else None
+    is_applied = (
+        reply is not None and reply.status == OK and apply_update(node, current, reply.body)
+    )
     decision.record(
-        log, logging.INFO, "news", teller=source, taken=is_taken, version=node.operator_version
+        log, logging.INFO, "news", teller=source, taken=is_applied, version=node.operator_version
     )
--- a/src/ebonyvalve/platform/operator.py
+++ b/src/ebonyvalve/platform/operator.py
@@ -1,4 +1,4 @@
-"""Follows what the operator writes into the store: the configuration and evacuated zones."""
+"""Follows the operator's rows of the store: the configuration and the evacuated zones."""
 
 import collections.abc
 import functools
@@ -20,16 +20,16 @@
 EVACUATE_PREFIX = "evacuate/"
 FOLLOW_WAIT_S = 10.0
 RETRY_S = 0.25
-# The store answers all nodes that follow it within this time of each other.
+# The store answers all nodes that follow it within this many seconds of each other.
 PROPAGATION_S = 0.05
-# A line of the log is read as a whole; the status of the node has all reasons.
+# Keeps the log line readable, in characters; the node's status page has all reasons.
 MAX_REASONS_LENGTH = 4000
 
 
 async def follow(
     node: node_module.Node, current: traffic.CurrentTraffic, store: table.Store
 ) -> None:
-    """Apply the operator's rows as they change, until cancelled.
+    """Apply the operator's rows from the store as they change, until cancelled.
 
     :param node: the node.
     :param current: gets the configuration.
@@ -38,37 +38,38 @@
     version = 0
     while True:
         is_whole = not node.is_operator_state_known
-        read: table.Rows | table.Failure | None
+        answer: table.Rows | table.Failure | None
         if is_whole:
-            read = await store.read(OPERATOR_TABLE)
+            answer = await store.read(OPERATOR_TABLE)
         else:
-            # Asked without waiting, the store says whether it has what another node has named.
+            # Without a wait, the store says at once whether it has the version that another node
+            # advertised.
             wait_s = 0.0 if node_module.is_operator_stale(node) else FOLLOW_WAIT_S
-            read = await follow_module.run_interruptible(
+            answer = await follow_module.run_interruptible(
                 functools.partial(store.follow, OPERATOR_TABLE, version, wait_s),
                 node.operator_follow_restart.wait,
             )
-            if read is None:
-                # What other nodes have told meanwhile need not be read.
+            if answer is None:
+                # Rows that other nodes have sent in the meantime need not be read.
                 version = max(version, node.operator_version)
                 continue
-        if isinstance(read, table.Rows):
-            apply(node, current, read, is_whole=is_whole)
-            version = max(version, read.version)
+        if isinstance(answer, table.Rows):
+            apply(node, current, answer, is_whole=is_whole)
+            version = max(version, answer.version)
             node.operator_read_version = max(node.operator_read_version, version)
-            # A version beyond what the store has hides all that are named after it.
+            # A version beyond that of the store would hide all that are advertised after it.
             node.advertised_version = min(node.advertised_version, version)
             node.is_operator_state_known = node.config is not None
             if is_whole and not node.is_operator_state_known:
                 await node_module.pause(node, RETRY_S)
-        elif read is table.Failure.HISTORY_GONE:
+        elif answer is table.Failure.HISTORY_GONE:
             node.is_operator_state_known = False
         else:
             await node_module.pause(node, RETRY_S * (1 + node.draw()))
 
 
 async def await_update(node: node_module.Node) -> None:
-    """Wait a moment for rows that another node has already applied.
+    """Wait up to ``PROPAGATION_S`` for rows that another node has already applied.
 
     :param node: the node.
     """
@@ -80,39 +81,39 @@
 def apply(
     node: node_module.Node,
     current: traffic.CurrentTraffic,
-    read: table.Rows,
+    received: table.Rows,
     *,
     is_whole: bool,
     complete_to: int = 0,
 ) -> None:
     """Apply those rows of the operator that are newer than the known ones.
 
-    They come from the store and from other nodes, in any order.
+    Rows arrive from the store and from other nodes, in any order.
 
     :param node: the node.
     :param current: gets the configuration.
-    :param read: the rows.
-    :param is_whole: whether they are all there are.
-    :param reached: the version of the operator's rows up to which they are complete, if that is
-        known; the store's versions count other rows too.
+    :param received: the rows.
+    :param is_whole: whether these are all rows of the operator, so that others were removed.
+    :param complete_to: the version of the operator's rows up to which they are complete, or 0 if
+        unknown. The version of ``received`` may be that of the store, which counts other rows too.
     """
-    known = node.operator_rows
-    fresh = [row for row in read.rows if row.version > _find_known_version(node, row.name.key)]
-    known.update({row.name.key: row for row in fresh})
-    newest = max((row.version for row in read.rows), default=0)
+    known_rows = node.operator_rows
+    newer = [row for row in received.rows if row.version > _find_known_version(node, row.name.key)]
+    known_rows.update({row.name.key: row for row in newer})
+    newest = max((row.version for row in received.rows), default=0)
     node.operator_version = max(node.operator_version, newest, complete_to)
     if is_whole:
-        names = {row.name.key for row in read.rows}
-        for key, row in list(known.items()):
-            if key not in names and row.version <= read.version:
-                del known[key]
-        node.operator_snapshot_version = max(node.operator_snapshot_version, read.version)
-        # When the missing rows were removed is not known.
+        names = {row.name.key for row in received.rows}
+        for key, row in list(known_rows.items()):
+            if key not in names and row.version <= received.version:
+                del known_rows[key]
+        node.operator_snapshot_version = max(node.operator_snapshot_version, received.version)
+        # The versions at which the missing rows were removed are unknown.
         node.operator_removals_since = node.operator_version
-    for row in fresh:
+    for row in newer:
         if row.name.key == CONFIG_KEY and not row.is_removed:
             _apply_config(node, current, row)
-    zones = list_evacuated(known.values())
+    zones = list_evacuated(known_rows.values())
     if zones != node.evacuated:
         decision.record(log, logging.INFO, "evacuation", zones=",".join(sorted(zones)))
         node_module.set_evacuated(node, zones)
@@ -120,15 +121,15 @@
 
 
 def _find_known_version(node: node_module.Node, key: str) -> int:
-    """Return the version of a known row, or of the whole answer that lacked it."""
+    """Return the version of a known row, or of the last full set of rows if the row is unknown."""
     row = node.operator_rows.get(key)
     return node.operator_snapshot_version if row is None else row.version
 
 
 def list_evacuated(rows: collections.abc.Iterable[table.Row]) -> frozenset[identity.ZoneId]:
-    """Return the zones whose targets are to get nothing.
+    """Return the evacuated zones, whose targets get no requests.
 
-    :param rows: the operator's.
+    :param rows: the rows of the operator.
     """
     return frozenset(
         identity.ZoneId(row.name.key.removeprefix(EVACUATE_PREFIX))
--- a/src/ebonyvalve/platform/reload.py
+++ b/src/ebonyvalve/platform/reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings into a running daemon."""
+"""Applies changed settings to a running daemon."""
 
 import collections.abc
 import dataclasses
@@ -15,7 +15,8 @@
 
 # The file may also change without a signal.
 CHECK_INTERVAL_S = 5.0
-# The process can't become another node or listen elsewhere; these wait for its next start.
+# A running process can't become another node or listen on other addresses, so that changes of these
+# settings take effect at its next start.
 RESTART_FIELDS = (
     "node",
     "zone",
@@ -34,14 +35,14 @@
     received: signals.Signals,
     read: collections.abc.Callable[[], bytes],
 ) -> None:
-    """Take in the settings whenever they change, until cancelled.
+    """Apply the settings whenever they change, until cancelled.
 
     :param node: the node.
-    :param client: the client of the store, which may move.
-    :param received: says when the platform has changed the file.
+    :param client: the client of the store, whose address may change.
+    :param received: the signals by which the platform announces a changed file.
     :param read: returns the content of the settings file.
     """
-    known: bytes | None = None
+    read_before: bytes | None = None
     while True:
         reload = received.reload
         try:
@@ -49,15 +50,15 @@
         except OSError as exc:
             decision.record(log, logging.ERROR, "settings-unreadable", cause=str(exc))
         else:
-            if body != known:
+            if body != read_before:
                 await apply(node, client, body)
-            known = body
+            read_before = body
         with trio.move_on_after(CHECK_INTERVAL_S):
             await reload.wait()
 
 
 async def apply(node: node_module.Node, client: store.Client, body: bytes) -> None:
-    """Apply changed settings, or keep the present ones if they can't be used.
+    """Apply changed settings, or keep the current ones if the new ones are invalid.
 
     :param node: the node.
     :param client: the client of the store.
--- a/src/ebonyvalve/platform/reports.py
+++ b/src/ebonyvalve/platform/reports.py
@@ -1,4 +1,4 @@
-"""Takes the status reports of the target beside this node."""
+"""Receives the status reports of the target beside this node."""
 
 import functools
 import logging
@@ -14,9 +14,9 @@
 
 
 def build_report_server(reconciler: records.Reconciler) -> network.Serve:
-    """Return what takes the status reports of the target beside this node.
+    """Return the server for the status reports of the target beside this node.
 
-    :param keeper: what the node has in the table.
+    :param reconciler: the node's state in the store's tables.
     """
 
     async def respond(request: http.Request) -> http.Reply:
@@ -26,8 +26,8 @@
             if refusal is not None:
                 return refusal
             await reconciliation.await_keys(reconciler)
-            given = reconciliation.answer_report(reconciler)
-            return http.Reply(status=200, body=announcement.encode(given))
+            issued = reconciliation.answer_report(reconciler)
+            return http.Reply(status=200, body=announcement.encode(issued))
         if request.method == "DELETE":
             return apply_leave(reconciler, name)
         return http.Reply(status=404, body=b"{}")
@@ -36,9 +36,9 @@
 
 
 def apply_report(reconciler: records.Reconciler, name: str, body: bytes) -> http.Reply | None:
-    """Take a status report; return why it is refused, if it is.
+    """Apply a status report; return the response if it is refused.
 
-    :param keeper: what the node has in the table.
+    :param reconciler: the node's state in the store's tables.
     :param name: the target's id.
     :param body: the report.
     """
@@ -52,8 +52,8 @@
             log, logging.WARNING, "report-of-another", target=name, address=decoded.address
         )
         return http.Reply(status=409, body=b"{}")
-    known = node.target
-    if known is not None and not known.is_assumed and is_late(node, known, decoded):
+    current = node.target
+    if current is not None and not current.is_assumed and is_late(node, current, decoded):
         decision.record(
             log, logging.INFO, "report-late", target=name, sequence=decoded.report.sequence
         )
@@ -63,7 +63,7 @@
         node,
         node_module.Target(
             lifetime=decoded.report.lifetime,
-            started_at_ms=decoded.born_ms,
+            started_at_ms=decoded.started_at_ms,
             slots=decoded.slots,
             state=decoded.state,
             reported_at=node.now(),
@@ -74,23 +74,23 @@
 
 
 def is_late(
-    node: node_module.Node, known: node_module.Target, decoded: announcement.Announcement
+    node: node_module.Node, current: node_module.Target, decoded: announcement.Announcement
 ) -> bool:
-    """Return whether a report is older than what is known.
+    """Return whether a report is older than the state of the target.
 
     :param node: the node.
-    :param known: the target as known.
+    :param current: the current state of the target.
     :param decoded: the report.
     """
-    if decoded.report.lifetime == known.lifetime:
+    if decoded.report.lifetime == current.lifetime:
         return decoded.report.sequence <= node.grantor.sequence
-    return decoded.born_ms < known.started_at_ms
+    return decoded.started_at_ms < current.started_at_ms
 
 
 def apply_leave(reconciler: records.Reconciler, name: str) -> http.Reply:
-    """Note that a target says that it is gone.
+    """Mark the target as gone if it reports that it is leaving.
 
-    :param keeper: what the node has in the table.
+    :param reconciler: the node's state in the store's tables.
     :param name: the target's id.
     """
     target = reconciler.node.target
--- a/src/ebonyvalve/platform/settings.py
+++ b/src/ebonyvalve/platform/settings.py
@@ -1,4 +1,7 @@
-"""Decodes the platform's settings file (TOML) into the product's place."""
+"""Decodes the platform's settings file (TOML) into a :class:`ebonyvalve.process.place.Place`.
+
+The field names of the structs are the platform's.
+"""
 
 import typing
 
@@ -24,7 +27,11 @@
 
 
 class Listen(msgspec.Struct, kw_only=True):
-    """Addresses of a node: ``outbound`` for callers on its VM, ``inbound`` for other nodes."""
+    """Addresses that a node listens on.
+
+    ``outbound`` is for callers on its VM, ``inbound`` for other nodes, ``ready`` for health checks
+    and operators, and ``control`` for the status reports of the target.
+    """
 
     outbound: str
     inbound: str
@@ -39,13 +46,17 @@
 
 
 class Limits(msgspec.Struct, kw_only=True):
-    """What the VM bears."""
+    """Limits of the VM. ``link_mbps`` is its bandwidth in Mbit/s, or 0."""
 
     link_mbps: Mbps = 0.0
 
 
 class Document(msgspec.Struct, kw_only=True):
-    """The settings that are used. ``backend`` is the service of the target on this VM."""
+    """The settings that are used; unknown ones are ignored.
+
+    ``backend`` is the service of the target on this VM, ``app_addr`` the target's address, and
+    ``bounds`` are entries of the form ``name=value``.
+    """
 
     node: str
     zone: str
@@ -59,10 +70,10 @@
 
 
 def decode(body: bytes) -> place.Place:
-    """Return the place that a settings file describes.
+    """Decode a settings file.
 
     :param body: the file's content.
-    :raises errors.SettingsError: naming the field that is missing or wrong.
+    :raises errors.SettingsError: if a field is missing or invalid; the message names it.
     """
     decoded = read(body)
     if not isinstance(decoded, result.Success):
@@ -92,11 +103,11 @@
 
 
 def read(body: bytes) -> result.Result[tuple[Document, dict[str, float]], str]:
-    """Return the settings and the bounds that they name, or what is wrong with them.
+    """Return the settings and their bounds by name, or why they are invalid.
 
     :param body: the file's content.
     """
-    # tomllib is needed once at start; nothing else of the daemon uses it.
+    # Only the settings need tomllib, once at start, so that it isn't imported with the module.
     import tomllib
 
     try:
@@ -110,7 +121,7 @@
     bounds = {}
     for entry in wire.bounds:
         name, _, value = (part.strip() for part in entry.partition("="))
-        # Bounds may also be true or false; none of those is used here.
+        # Bounds may also be true or false; the daemon uses none of those.
         if value not in BOOLEANS:
             bounds[name] = decoding.read_number(value, max_value=MAX_BOUND)
     fault = find_fault(wire, bounds)
@@ -120,14 +131,14 @@
 
 
 def find_fault(wire: Document, bounds: dict[str, float | None]) -> str:
-    """Return which setting can't be used, or an empty text.
+    """Return which setting is invalid, or an empty string.
 
     :param wire: the settings.
-    :param bounds: the bounds by name; ``None`` for those that are no numbers.
+    :param bounds: the bounds by name; ``None`` for those that aren't valid numbers.
     """
     for name in ("node", "zone", "backend"):
         if not decoding.is_name(getattr(wire, name)):
-            return f"{name}: {getattr(wire, name)!r} is no name"
+            return f"{name}: {getattr(wire, name)!r} is not a valid name"
     addresses = {
         "app_addr": wire.app_addr,
         "listen.outbound": wire.listen.outbound,
@@ -141,5 +152,5 @@
             return f"{name}: {address!r} is not host:port"
     for name in USED_BOUNDS:
         if name in bounds and bounds[name] is None:
-            return f"bounds: {name} is no number from 0 to {MAX_BOUND:g}"
+            return f"bounds: {name} is not a number from 0 to {MAX_BOUND:g}"
     return ""
--- a/src/ebonyvalve/platform/sockets.py
+++ b/src/ebonyvalve/platform/sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets on which another end that has fallen silent is noticed."""
+"""TCP sockets with keep-alive and time-out options that detect a silent remote end."""
 
 import socket
 
@@ -6,7 +6,7 @@
 
 from ebonyvalve.process import network
 
-# Connections may go silent without a reset, and a VM without power answers nothing.
+# Connections may go silent without a reset, and a VM that lost power sends none.
 KEEP_ALIVE_S = 1
 KEEP_ALIVE_PROBES = 2
 USER_TIMEOUT_MS = 3000
@@ -14,10 +14,10 @@
 
 
 async def connect(address: str) -> trio.abc.Stream:
-    """Open a TCP connection on which a silent other end is noticed.
+    """Open a TCP connection that fails if the remote end falls silent.
 
-    :param address: an IP number and a port.
-    :raises OSError: when the connection is refused.
+    :param address: an IP address and a port.
+    :raises OSError: if the connection is refused.
     """
     network.check_address(address)
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -27,16 +27,17 @@
         sock.close()
         raise
     set_options(sock)
-    # Probes begin only when all that was sent has been acknowledged.
+    # Keep-alive probes begin only after all sent bytes were acknowledged, so that unacknowledged
+    # bytes need a time-out of their own.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return trio.SocketStream(sock)
 
 
 def set_options(sock: trio.socket.SocketType) -> None:
-    """Let the kernel notice another end that has fallen silent.
+    """Set the keep-alive options by which the kernel detects a silent remote end.
 
-    Accepted connections have no more than this: the time-out for sent bytes would also cut an
-    answer whose caller reads late.
+    Accepted connections get no ``TCP_USER_TIMEOUT``, which would also abort a response whose caller
+    reads slowly.
 
     :param sock: a connected socket.
     """
@@ -50,8 +51,8 @@
 async def listen(address: str, serve: network.Serve) -> None:
     """Accept connections until cancelled.
 
-    :param address: where.
-    :param serve: runs for each connection.
+    :param address: the IP address and port to listen on.
+    :param serve: called for each connection.
     """
     host, port = network.split_address(address)
     listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
@@ -59,19 +60,19 @@
 
 
 def build_serve(serve: network.Serve) -> network.Serve:
-    """Return a function that serves a connection with the socket's options set.
+    """Return a function that sets the options of a socket before it serves the connection.
 
-    :param serve: runs for each connection.
+    :param serve: called for each connection.
     """
 
-    async def run_one(stream: trio.abc.Stream) -> None:
+    async def serve_with_options(stream: trio.abc.Stream) -> None:
         assert isinstance(stream, trio.SocketStream)
         try:
             set_options(stream.socket)
         except OSError:
-            # The other end has closed already.
+            # The remote end has closed the connection already.
             await trio.aclose_forcefully(stream)
             return
         await serve(stream)
 
-    return run_one
+    return serve_with_options
--- a/src/ebonyvalve/platform/store.py
+++ b/src/ebonyvalve/platform/store.py
@@ -1,4 +1,7 @@
-"""The client of the platform's metadata store: HTTP/1.1 with JSON bodies on kept connections."""
+"""Client of the platform's metadata store: HTTP/1.1 with JSON bodies on keep-alive connections.
+
+The fields of the ``Wire`` structs are the store's names, not this project's.
+"""
 
 import base64
 import collections.abc
@@ -17,26 +20,30 @@
 
 log = logging.getLogger(__name__)
 
-# A call takes 4 ms, and 50 times as long when the store is slow.
+# A call takes 4 ms, or 50 times as long when the store is slow.
 CALL_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 0.5
 FOLLOW_SLACK_S = 1.5
 PAGE_ROWS = 500
-# Of one table; 100,000 rows.
+# Limit for one table, which is 100,000 rows.
 MAX_PAGES = 200
 OK = 200
 CONFLICT = 412
 GONE = 410
-# A table without rows may not be there yet.
+# The store may not have created a table that has no rows yet.
 NO_TABLE = 404
-# With these the store says that nothing was done.
+# With these the store guarantees that nothing was written.
 REFUSED_STATUSES = (429, 503, 403, 507)
-# A page is an object with a list of rows, which are objects.
+# Nesting of a page: an object with a list of rows, which are objects.
 ROW_DEPTH = 3
 
 
 class WireRow(msgspec.Struct, kw_only=True):
-    """A row as the store spells it. ``value`` is base64."""
+    """A row as the store encodes it.
+
+    ``part`` is the partition, ``ver`` the version of the row and ``removed`` marks a deleted
+    row. ``value`` is base64.
+    """
 
     table: str = ""
     part: str = ""
@@ -47,7 +54,7 @@
 
 
 class WireRowName(msgspec.Struct, kw_only=True):
-    """What names a row whose value can't be read."""
+    """The name and version of a row whose value can't be decoded."""
 
     table: str
     key: str
@@ -56,7 +63,10 @@
 
 
 class WireRows(msgspec.Struct, kw_only=True):
-    """An answer about rows. ``now_s`` is the store's steady clock in seconds."""
+    """An answer with rows.
+
+    ``ver`` is the version of the store and ``now_s`` its monotonic clock in seconds.
+    """
 
     rows: list[WireRow] = []
     ver: decoding.Count = 0
@@ -65,7 +75,7 @@
 
 
 class WirePage(msgspec.Struct, kw_only=True):
-    """An answer about rows of which some or the clock can't be read."""
+    """An answer with rows, some of which, or the clock, can't be decoded."""
 
     rows: list[msgspec.Raw] = []
     ver: decoding.Count = 0
@@ -75,9 +85,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Client:
-    """Kept connections to the store, one for each call under way.
+    """Keep-alive connections to the store, one for each concurrent call.
 
-    ``on_return`` is called when the store answers again.
+    ``on_recovery`` is called when the store answers again after a failure, and when its address
+    changes. ``unreadable_rows`` holds the rows that were logged as undecodable.
     """
 
     address: str
@@ -86,12 +97,14 @@
     on_recovery: collections.abc.Callable[[], None] = lambda: None
     idle: list[tuple[trio.abc.Stream, h11.Connection]] = dataclasses.field(default_factory=list)
     is_reachable: bool = True
-    unreadable: decoding.UnreadableRows = dataclasses.field(default_factory=decoding.UnreadableRows)
+    unreadable_rows: decoding.UnreadableRows = dataclasses.field(
+        default_factory=decoding.UnreadableRows
+    )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """One answer with the times around it, in seconds on the node's clock."""
+    """One answer, with the times of request and answer in seconds on the node's clock."""
 
     status: int
     body: bytes
@@ -100,7 +113,7 @@
 
 
 def open_store(client: Client) -> table.Store:
-    """Return the calls of the table.
+    """Return the operations of the store's tables.
 
     :param client: the connections.
     """
@@ -128,10 +141,10 @@
 
 
 async def redirect(client: Client, address: str) -> None:
-    """Send further calls to another address.
+    """Send further calls to another address and close the idle connections to the old one.
 
     :param client: the connections.
-    :param address: where the store is now.
+    :param address: the new address of the store.
     """
     client.address = address
     idle, client.idle = client.idle, []
@@ -155,11 +168,12 @@
             return page
         rows.extend(page.rows)
         if page.has_more and not page.rows:
-            # Nothing says where the next page begins, and part of a table must not pass for all.
+            # Without rows the start of the next page is unknown, and a part of a table must not be
+            # taken for the whole.
             return table.Failure.UNKNOWN
         if not page.has_more:
             return dataclasses.replace(page, rows=tuple(rows), has_more=False)
-        # The smallest key above the last one.
+        # The smallest key greater than the last one.
         start = page.rows[-1].name.key + "\0"
     decision.record(log, logging.ERROR, "store-table-too-long", table=name, pages=MAX_PAGES)
     return table.Failure.UNKNOWN
@@ -205,7 +219,7 @@
     if answer.status == GONE:
         return table.Failure.HISTORY_GONE
     if answer.status not in (OK, CONFLICT, NO_TABLE):
-        # Such a body would pass for a table without rows, or for a write that was done.
+        # The body could be taken for a table without rows, or for a write that was applied.
         decision.record(log, logging.ERROR, "store-answer-unreadable", cause=answer.status)
         return table.Failure.UNKNOWN
     decoded = decoding.decode(answer.body, WireRows)
@@ -226,20 +240,22 @@
 
 
 def _decode_readable(client: Client, body: bytes) -> result.Result[WireRows, str]:
-    """Return an answer without the rows, or the values of rows, that can't be read."""
-    split = decoding.decode(decoding.prune(body, ROW_DEPTH), WirePage)
-    if not isinstance(split, result.Success):
-        return result.Failure(split.failure())
-    page = split.unwrap()
+    """Return an answer without the rows, or values of rows, that can't be decoded."""
+    page_decoded = decoding.decode(decoding.prune(body, ROW_DEPTH), WirePage)
+    if not isinstance(page_decoded, result.Success):
+        return result.Failure(page_decoded.failure())
+    page = page_decoded.unwrap()
     rows = []
     for raw in page.rows:
         row = decoding.decode(raw, WireRow)
         if not isinstance(row, result.Success):
-            place = decoding.decode(raw, WireRowName).value_or(None)
-            _record_unreadable(client, place or bytes(raw), row.failure())
-            if place is not None:
+            row_name = decoding.decode(raw, WireRowName).value_or(None)
+            _record_unreadable(client, row_name or bytes(raw), row.failure())
+            if row_name is not None:
                 rows.append(
-                    WireRow(table=place.table, part=place.part, key=place.key, ver=place.ver)
+                    WireRow(
+                        table=row_name.table, part=row_name.part, key=row_name.key, ver=row_name.ver
+                    )
                 )
             continue
         rows.append(row.unwrap())
@@ -247,17 +263,17 @@
     return result.Success(WireRows(rows=rows, ver=page.ver, now_s=now_s, has_more=page.has_more))
 
 
-def _record_unreadable(client: Client, place: WireRowName | WireRow | bytes, cause: str) -> None:
-    """Log a row that can't be read, once for each of its versions."""
-    if isinstance(place, bytes):
-        name, version = repr(place[: decoding.MAX_CAUSE_CHARS]), table.MISSING
+def _record_unreadable(client: Client, row: WireRowName | WireRow | bytes, cause: str) -> None:
+    """Log a row that can't be decoded, once for each of its versions."""
+    if isinstance(row, bytes):
+        name, version = repr(row[: decoding.MAX_CAUSE_CHARS]), table.MISSING
     else:
-        name, version = f"{place.table}/{place.key}", place.ver
-    decoding.record_unreadable(client.unreadable, log, name, version, cause)
+        name, version = f"{row.table}/{row.key}", row.ver
+    decoding.record_unreadable(client.unreadable_rows, log, name, version, cause)
 
 
 def _decode_row(client: Client, row: WireRow) -> table.Row:
-    """Return a row; one whose value can't be read has an empty one, which no decoder accepts."""
+    """Return a row; an undecodable value becomes an empty one, which every decoder rejects."""
     value = decoding.decode_base64(row.value)
     if not isinstance(value, result.Success):
         _record_unreadable(client, row, value.failure())
@@ -308,7 +324,7 @@
 
 
 async def _take_idle(client: Client) -> tuple[trio.abc.Stream, h11.Connection] | None:
-    """Return a kept connection on which nothing has come since its last answer."""
+    """Return an idle connection on which nothing was received since its last answer."""
     while client.idle:
         stream, protocol = client.idle.pop()
         trailing, is_closed = protocol.trailing_data
@@ -348,7 +364,7 @@
 
 
 def _record_reachability(client: Client, failure: table.Failure | None) -> table.Failure:
-    """Log the loss and the return of the store, once each."""
+    """Log when the store becomes unreachable or reachable again, once each; return the failure."""
     if client.is_reachable != (failure is None):
         client.is_reachable = failure is None
         if client.is_reachable:
--- a/src/ebonyvalve/platform/tool.py
+++ b/src/ebonyvalve/platform/tool.py
@@ -1,6 +1,6 @@
-"""The operators' command line on the platform.
+"""Command line for operators of the platform.
 
-``check`` needs no network and no running node; ``plan``, ``status`` and ``explain`` ask a node at
+``check`` needs no network and no running node; ``plan``, ``status`` and ``explain`` query a node at
 its ready address.
 """
 
@@ -18,24 +18,24 @@
 from ebonyvalve.process import decoding, http, identity, member, survey
 from ebonyvalve.version import impact, traffic
 
-Form = typing.TypeVar("Form")
+Decoded = typing.TypeVar("Decoded")
 
 DONE = 0
 REFUSED = 1
 UNANSWERED = 2
-# An operator waits for a node under load, but not for one that is gone.
+# Long enough for a node under load, without a long wait for one that is gone.
 ASK_TIMEOUT_S = 5.0
 
 
 def check(file: pathlib.Path, *, against: pathlib.Path | None = None) -> int:
-    """Check a configuration as the platform stores it, with every reason against it.
+    """Check a configuration as the platform stores it; list every reason against it.
 
     :param file: the JSON document.
     :param against: the document in force; what would change is listed, and a version that does
         not rise is refused.
     """
-    found = read(file)
-    reasons = found if isinstance(found, list) else []
+    loaded = read(file)
+    reasons = loaded if isinstance(loaded, list) else []
     changes: list[str] = []
     before: traffic.TrafficConfig | None = None
     if against is not None:
@@ -44,10 +44,10 @@
             reasons = [*reasons, *(f"in force, {reason}" for reason in in_force)]
         else:
             before = in_force
-    if isinstance(found, traffic.TrafficConfig) and before is not None:
-        if found.version <= before.version:
-            reasons = [f"version {found.version} is not above {before.version}, which is in force"]
-        changes = traffic.list_changes(before, found)
+    if isinstance(loaded, traffic.TrafficConfig) and before is not None:
+        if loaded.version <= before.version:
+            reasons = [f"version {loaded.version} is not above {before.version}, which is in force"]
+        changes = traffic.list_changes(before, loaded)
     code = _print_findings(changes, reasons)
     noun = "reason" if len(reasons) == 1 else "reasons"
     print(f"refused, {len(reasons)} {noun}" if reasons else "accepted")
@@ -55,7 +55,7 @@
 
 
 def _print_findings(changes: list[str], reasons: list[str]) -> int:
-    """Print what would change and the reasons against it; return the exit status."""
+    """Print the changes and the reasons against them; return the exit status."""
     for line in changes:
         print(f"changes {line}")
     for reason in reasons:
@@ -64,7 +64,7 @@
 
 
 def read(file: pathlib.Path) -> traffic.TrafficConfig | list[str]:
-    """Return the configuration of a file, or every reason against it.
+    """Decode the configuration in a file; return every reason against it if it is invalid.
 
     :param file: the JSON document.
     """
@@ -81,7 +81,7 @@
     file: pathlib.Path | None = None,
     against: pathlib.Path | None = None,
 ) -> int:
-    """Say which keys and how much load a change would move, and every reason against it.
+    """Print which keys and how much load a change would move, and every reason against it.
 
     :param node: ``IP:port`` of a node's ready address.
     :param evacuate: a zone whose targets would get nothing.
@@ -97,21 +97,21 @@
     changes: list[str] = []
     reasons: list[str] = []
     if evacuate is not None:
-        found = impact.predict_evacuation(node_survey, identity.ZoneId(evacuate))
-        changes, reasons = found.changes, found.reasons
+        predicted = impact.predict_evacuation(node_survey, identity.ZoneId(evacuate))
+        changes, reasons = predicted.changes, predicted.reasons
     if file is not None and against is not None:
         after, before = read(file), read(against)
         if isinstance(after, traffic.TrafficConfig) and isinstance(before, traffic.TrafficConfig):
-            found = impact.predict_split(node_survey, before, after)
-            changes, reasons = changes + found.changes, reasons + found.reasons
-        for unread in (after, before):
-            if isinstance(unread, list):
-                reasons = reasons + unread
+            predicted = impact.predict_split(node_survey, before, after)
+            changes, reasons = changes + predicted.changes, reasons + predicted.reasons
+        for loaded in (after, before):
+            if isinstance(loaded, list):
+                reasons = reasons + loaded
     return _print_findings(changes, reasons)
 
 
 def status(node: str) -> int:
-    """Print what a node believes: configuration, targets and their loads, ranges of keys.
+    """Print a node's view: configuration, targets and their loads, ranges of keys.
 
     :param node: ``IP:port`` of a node's ready address.
     """
@@ -131,10 +131,10 @@
     :param path: its path.
     :param key: its key, if it has one.
     """
-    asked = {"host": host, "path": path}
+    params = {"host": host, "path": path}
     if key is not None:
-        asked["key"] = str(key)
-    body = ask(node, f"/explain?{urllib.parse.urlencode(asked)}")
+        params["key"] = str(key)
+    body = ask(node, f"/explain?{urllib.parse.urlencode(params)}")
     if body is None:
         return UNANSWERED
     lines = unwrap_or_report(node, decoding.decode(body, list[str]))
@@ -146,9 +146,9 @@
 
 
 def describe(node_survey: survey.Survey) -> collections.abc.Iterator[str]:
-    """Return what a node believes, a line for each thing.
+    """Yield the lines that describe a node's view: configuration, targets, ledgers and gauges.
 
-    :param seen: from the node.
+    :param node_survey: from the node.
     """
     yield f"node {node_survey.node} in {node_survey.zone}, service {node_survey.service}"
     yield "configuration " + ("none yet" if node_survey.config is None else str(node_survey.config))
@@ -169,17 +169,17 @@
 
 
 def _describe_peer(node_survey: survey.Survey, peer: survey.Peer) -> str:
-    known = peer.member
-    line = f"target {known.lifetime} of {known.service} beside {known.node} in {known.zone}: "
-    line += known.state.value
-    if known.state is member.TargetState.READY and known.zone in node_survey.evacuated:
+    target = peer.member
+    line = f"target {target.lifetime} of {target.service} beside {target.node} in {target.zone}: "
+    line += target.state.value
+    if target.state is member.TargetState.READY and target.zone in node_survey.evacuated:
         line += ", evacuated"
     line += f", {survey.format_load(peer)}"
     return f"{line}, passed by for {peer.avoided_s:.1f} s" if peer.avoided_s else line
 
 
 def ask_survey(node: str) -> survey.Survey | None:
-    """Return what a node believes, or ``None``, after saying why, if it does not tell.
+    """Return a node's view of the mesh; print an error and return ``None`` if that fails.
 
     :param node: its ready address.
     """
@@ -189,8 +189,8 @@
     return unwrap_or_report(node, survey.decode(body))
 
 
-def unwrap_or_report(node: str, decoded: result.Result[Form, str]) -> Form | None:
-    """Return what a node has answered, or ``None``, after saying why, if it can't be read.
+def unwrap_or_report(node: str, decoded: result.Result[Decoded, str]) -> Decoded | None:
+    """Return a decoded answer; print an error and return ``None`` if it could not be decoded.
 
     :param node: its ready address.
     :param decoded: the answer.
@@ -201,10 +201,10 @@
 
 
 def ask(node: str, path: str) -> bytes | None:
-    """Return a node's answer, or ``None``, after saying why, if there is none.
+    """Return the body of a node's answer; print an error and return ``None`` if there is none.
 
     :param node: its ready address.
-    :param path: what is asked.
+    :param path: path and query of the request.
     """
     host, _, port = node.rpartition(":")
     if not host or not port.isdecimal():
@@ -215,11 +215,11 @@
         request = http.Request(method="GET", path=path)
         return await http.fetch(sockets.connect, node, request, timeout_s=ASK_TIMEOUT_S)
 
-    sent = trio.run(fetch)
-    if not isinstance(sent, result.Success):
-        print(f"{node}: {sent.failure().value}", file=sys.stderr)
+    fetched = trio.run(fetch)
+    if not isinstance(fetched, result.Success):
+        print(f"{node}: {fetched.failure().value}", file=sys.stderr)
         return None
-    reply: http.Reply = sent.unwrap()
+    reply: http.Reply = fetched.unwrap()
     if reply.status != 200:
         print(f"{node}: answers {reply.status}", file=sys.stderr)
         return None
