--- a/tests/connection/test_channel.py
+++ b/tests/connection/test_channel.py
@@ -73,7 +73,7 @@
 
 
 async def test_no_thread_is_started() -> None:
-    """Guards against a look-up or an asyncio helper that leaves the one thread."""
+    """Guards against name resolution or an asyncio helper that starts a second thread."""
     before = set(threading.enumerate())
     async with channel.open_channel() as both, serving(both) as address:
         assert await both.ask(address, fetch(1), 5.0) == result.Success(fetch(1))
--- a/tests/connection/test_channel_faults.py
+++ b/tests/connection/test_channel_faults.py
@@ -26,7 +26,7 @@
 
 LOOPBACK = identity.Address("127.0.0.1:0")
 SEED = 20261204
-# For tests that reconnect and do not test how long that may take: the machine may be busy.
+# For tests that reconnect but don't check how long it takes, as the machine may be busy.
 SLOW_CONNECT = channel.Limits(connect_s=2.0)
 
 
@@ -65,7 +65,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Relay:
-    """A TCP relay whose present connections can be made silent while new ones work."""
+    """A TCP relay whose existing connections can be made silent while new ones work.
+
+    Connections with a number below ``silent_below`` forward nothing.
+    """
 
     target: identity.Address
     connections: int = 0
@@ -90,7 +93,7 @@
         host, port = relay.target.split(":")
         with trio.CancelScope() as scope:
             relay.closers.append(scope)
-            # The pumps' errors come as a group, which contextlib.suppress leaves alone.
+            # The pumps raise an exception group, which contextlib.suppress doesn't handle.
             try:
                 far = await trio.open_tcp_stream(host, int(port))
                 async with near, far, trio.open_nursery() as nursery:
@@ -133,7 +136,7 @@
         )
         assert await both.ask(address, fetch(3), 1.0) == failed(peer.PeerFailure.REFUSED)
         async with serving(both, address=address):
-            # Longer than the longest pause between two connects.
+            # The longest back-off between two connects.
             await trio.sleep(0.25)
             assert await both.ask(address, fetch(4), 1.0) == result.Success(fetch(4))
 
@@ -152,7 +155,7 @@
             while True:
                 assert await both.ask(address, fetch(1), 1.0) == failed(peer.PeerFailure.REFUSED)
                 await trio.sleep(0.001)
-    # Doubling from 20 ms to 250 ms, less up to half for the random part, leaves room for these.
+    # The back-off doubles from 20 ms to 250 ms and is up to half shorter by the jitter.
     assert 3 <= accepted <= 12
 
 
@@ -166,7 +169,7 @@
 
 
 async def test_lost_stream_ends_its_requests() -> None:
-    """Guards against requests that wait out their timeout after the connection has ended."""
+    """Guards against requests that wait for their timeout after the connection was closed."""
     replies: list[peer.AskResult] = []
     async with channel.open_channel(limits=SLOW_CONNECT) as both, serving(both) as target:
         relay = Relay(target=target)
@@ -185,9 +188,10 @@
 
 
 async def test_silent_stream_is_replaced() -> None:
-    """Guards against a stream that has gone silent while new connections work.
+    """Guards against further use of a stream that has gone silent while new connections work.
 
-    The first request waits for the heartbeat period; only one may be lost within a lease of 450 ms.
+    The first request times out after the heartbeat period of 150 ms. Only one heartbeat may be lost
+    within a lease of 450 ms, so the second request has to use a new stream.
     """
     async with channel.open_channel(limits=SLOW_CONNECT) as both, serving(both) as target:
         relay = Relay(target=target)
@@ -200,9 +204,9 @@
 
 
 async def test_slow_reply_survives_the_retirement_of_its_stream() -> None:
-    """Guards against a slow reply that is lost because its stream was taken for silent.
+    """Guards against losing a slow reply because its stream was retired as silent.
 
-    The stream that was retired must be closed after its last reply.
+    The retired stream must be closed after its last reply.
     """
     replies: list[peer.AskResult] = []
     async with channel.open_channel(limits=SLOW_CONNECT) as both, serving(both) as target:
@@ -223,7 +227,7 @@
 
 
 async def test_peer_that_accepts_and_says_nothing() -> None:
-    """Guards against a frozen peer, whose kernel accepts connections that nobody serves."""
+    """Guards against waiting for a frozen peer, whose kernel still accepts connections."""
 
     async def accept(stream: trio.SocketStream) -> None:
         await trio.sleep_forever()
@@ -252,13 +256,13 @@
 async def test_server_refuses_excess_requests_of_one_stream() -> None:
     """Guards against a peer that starts any number of handlers."""
     running = 0
-    most = 0
+    max_running = 0
     replies: collections.Counter[peer.PeerFailure | None] = collections.Counter()
 
     async def handle(request: message.Message) -> message.Message:
-        nonlocal running, most
+        nonlocal running, max_running
         running += 1
-        most = max(most, running)
+        max_running = max(max_running, running)
         await trio.sleep(0.1)
         running -= 1
         return request
@@ -277,12 +281,12 @@
         async with trio.open_nursery() as nursery:
             for version in range(8):
                 nursery.start_soon(ask, version)
-    assert most == 4
+    assert max_running == 4
     assert replies == {None: 4, peer.PeerFailure.OVERLOADED: 4}
 
 
 async def test_abandoned_handlers_do_not_block_later_requests() -> None:
-    """Guards against handlers that outlast their askers and leave later requests unanswered."""
+    """Guards against handlers that outlast their requests and leave later ones unanswered."""
     limits = channel.Limits(in_flight=3)
     async with channel.open_channel(limits=limits) as both, serving(both) as address:
         async with trio.open_nursery() as nursery:
@@ -294,7 +298,11 @@
 
 
 def open_raw_stream(payloads: list[bytes], *, window: int) -> h2.connection.H2Connection:
-    """Return a client that has opened a stream and sent payloads, with a window for replies."""
+    """Return a client that has opened a stream and sent payloads.
+
+    :param payloads: encoded envelopes.
+    :param window: the flow-control window for replies, in bytes.
+    """
     client = h2.connection.H2Connection(config=h2.config.H2Configuration(client_side=True))
     client.initiate_connection()
     client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: window})
@@ -315,9 +323,9 @@
 
 
 async def test_stream_of_a_lost_peer_is_closed() -> None:
-    """Guards against streams of lost VMs that fill the server's limit over months.
+    """Guards against streams of lost VMs that use up the server's limit over months.
 
-    A stream is not unused while a handler runs for it.
+    A stream doesn't count as unused while a handler runs for it.
     """
     requests: list[message.Message] = [leave(0.5), fetch(1)]
     payloads = [
@@ -346,7 +354,7 @@
     payloads = [
         channel.encode(channel.Envelope(sequence=sequence, body=fetch(1))) for sequence in range(20)
     ]
-    # The peer grants no window for replies.
+    # The peer grants no flow-control window for replies.
     client = open_raw_stream(payloads, window=0)
     async with channel.open_channel(limits=limits) as both, serving(both) as address:
         port = int(address.rpartition(":")[2])
@@ -364,7 +372,7 @@
 
 
 async def test_message_sizes_are_limited() -> None:
-    """Guards against a message that fills the memory of its receiver."""
+    """Guards against a message that exhausts the memory of its receiver."""
     body = message.Config(version=identity.ConfigVersion(1), body=bytes(20_000))
     small = channel.Limits(message_bytes=10_000)
     async with (
@@ -378,7 +386,7 @@
 
 
 async def test_reply_that_is_too_large_is_refused() -> None:
-    """Guards against a request that waits because its reply could not be sent."""
+    """Guards against a request that waits forever because its reply is too large to be sent."""
 
     async def handle(request: message.Message) -> message.Message:
         return message.Config(version=identity.ConfigVersion(1), body=bytes(20_000))
@@ -400,7 +408,7 @@
 
 
 async def test_fault_of_a_handler_is_refused() -> None:
-    """Guards against one message that stops every node whose handler has a fault."""
+    """Guards against a message that stops every node that receives it through a handler's bug."""
 
     async def handle(request: message.Message) -> message.Message:
         raise KeyError("fault")
@@ -411,7 +419,7 @@
 
 
 async def test_violated_invariant_stops_the_server() -> None:
-    """Guards against a process that goes on with a state that the rules exclude."""
+    """Guards against a process that continues after it has found its own state to be invalid."""
 
     async def handle(request: message.Message) -> message.Message:
         raise errors.InvariantError("two owners")
@@ -423,7 +431,7 @@
 
 
 async def test_undecodable_request_fails_alone() -> None:
-    """Guards against a message of a newer version that ends the stream for all others."""
+    """Guards against a message of a newer version that closes the stream for all other requests."""
     pending: list[peer.AskResult] = []
 
     async with channel.open_channel() as both, serving(both) as address:
@@ -434,7 +442,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
             await trio.sleep(0.05)
-            # A version that is not a number passes the sender's encoder and fails the decoder.
+            # The sender's encoder accepts a version that isn't a number; the decoder refuses it.
             wrong = message.FetchConfig(version="x")  # type: ignore[arg-type]
             assert await both.ask(address, wrong, 1.0) == failed(peer.PeerFailure.MALFORMED)
     assert pending == [result.Success(leave(0.2))]
@@ -446,7 +454,7 @@
 @hypothesis.example(b"\x92\x01\x92\x0d\xa1\xff")
 @hypothesis.example(b"\x92\xcf" + b"\xff" * 8 + b"\xc0")
 def test_decode_never_raises(payload: bytes) -> None:
-    """Guards against bytes from a peer that raise in the reader."""
+    """Guards against bytes from a peer that raise an exception in the receiver."""
     envelope = channel.decode(payload)
     assert envelope is None or isinstance(envelope.sequence, int)
 
@@ -457,7 +465,7 @@
     client = h2.connection.H2Connection(config=h2.config.H2Configuration(client_side=True))
     client.initiate_connection()
     preface = client.data_to_send()
-    # A frame of a type that h2 reports and grpclib does not handle, and a priority update.
+    # An ALTSVC frame, which h2 reports as an event and grpclib doesn't handle.
     alternative = bytes([0, 0, 8, 0x0A, 0, 0, 0, 0, 0]) + b"\x00\x01a" + b"h=:80"
     blobs = [source.randbytes(source.randrange(1, 2000)) for _ in range(20)]
     blobs += [preface + blob for blob in blobs]
@@ -496,7 +504,7 @@
     "address", ["", "localhost:1", "127.0.0.1", "127.0.0.1:x", "1.2.3.4:99999"]
 )
 async def test_malformed_address_is_refused(address: str) -> None:
-    """Guards against an announced address that raises, or that needs a look-up in a thread."""
+    """Guards against an address that raises, or that needs name resolution in a thread."""
     async with channel.open_channel() as both:
         answer = await both.ask(identity.Address(address), fetch(1), 1.0)
     assert answer == failed(peer.PeerFailure.REFUSED)
@@ -519,8 +527,8 @@
 async def test_prepared_stream_is_kept_and_used() -> None:
     """Guards against a standby that has to open all its streams when it takes over.
 
-    Preparing must not reach the handler, must keep the stream open at both ends, and must report a
-    peer that is not there.
+    Preparing must not call the handler, must keep the stream open at both ends, and must report a
+    peer that can't be reached.
     """
     handled = 0
 
@@ -544,7 +552,7 @@
 
 
 async def test_closed_peer_ends_its_requests() -> None:
-    """Guards against requests to a node that has left and that wait for their timeout."""
+    """Guards against requests that wait for their timeout although the node has left."""
     replies: list[peer.AskResult] = []
     async with channel.open_channel() as both, serving(both) as address:
 
@@ -599,10 +607,10 @@
 
 
 async def test_peers_without_a_certificate_are_refused(tmp_path: pathlib.Path) -> None:
-    """Guards against orders from, or to, a process that the authority does not know."""
+    """Guards against requests from, or to, a process without a certificate of the authority."""
     authority, unknown = trustme.CA(), trustme.CA()
     ours = write_files(tmp_path, "ours", authority, authority, "127.0.0.1")
-    # The other end trusts our authority, so that only our check can refuse it.
+    # The remote end trusts our authority, so that only our own check can refuse it.
     theirs = write_files(tmp_path, "theirs", unknown, authority, "127.0.0.1")
     anonymous = ssl.create_default_context(cafile=ours.authority)
     anonymous.set_alpn_protocols(["h2"])
@@ -632,7 +640,7 @@
 
 
 def test_unreadable_files_are_named(tmp_path: pathlib.Path) -> None:
-    """Guards against a settings fault that is reported without the file that causes it."""
+    """Guards against an error in the settings that doesn't name the file that causes it."""
     path = str(tmp_path / "missing.pem")
     files = channel.TlsFiles(certificate=path, key=path, authority=path)
     for load in (channel.load_client_tls, channel.load_server_tls):
@@ -641,7 +649,7 @@
 
 
 def test_payloads_split_across_frames() -> None:
-    """Guards against payloads that are lost or joined when frames end at other places."""
+    """Guards against payloads that are lost or merged when they are split across frames."""
     payloads = [b"", b"1", b"seven77", bytes(300)]
     data = b"".join(channel.PREFIX.pack(False, len(part)) + part for part in payloads)
     for step in (1, 2, 5, 6, 64, len(data)):
@@ -658,7 +666,7 @@
 
 
 async def test_slow_network_holds_messages_back() -> None:
-    """Guards against messages lost or mixed up when socket and flow control hold a sender back."""
+    """Guards against lost or reordered bytes when the socket or flow control blocks a sender."""
     source = random.Random(SEED)
     bodies = [
         message.Config(
@@ -687,10 +695,10 @@
 
 
 async def test_reply_is_not_sent_into_the_middle_of_another() -> None:
-    """Guards against frames of two replies that mix when a peer's window opens again.
+    """Guards against interleaved frames of two replies when a peer's window opens again.
 
-    The window and a request that is refused at once come in one segment, while the first reply has
-    been sent in part.
+    The window update and a request that is refused at once arrive in one segment, after the first
+    reply has been sent in part.
     """
     body = message.Config(version=identity.ConfigVersion(1), body=bytes(1000))
     first = channel.encode(channel.Envelope(sequence=1, body=body))
--- a/tests/connection/test_liveness.py
+++ b/tests/connection/test_liveness.py
@@ -1,4 +1,4 @@
-"""Policy of the connection pool."""
+"""Tests of the connection pool's policy."""
 
 import hypothesis
 from hypothesis import strategies
@@ -10,22 +10,24 @@
 P99_S = 0.02
 
 
-def make(phase: Phase, asked_at: float, progress_at: float, opened_at: float = 0.0) -> object:
+def build_connection(
+    phase: Phase, awaiting_since: float, progress_at: float, opened_at: float = 0.0
+) -> object:
     return liveness.Connection(
-        opened_at=opened_at, phase=phase, awaiting_since=asked_at, progress_at=progress_at
+        opened_at=opened_at, phase=phase, awaiting_since=awaiting_since, progress_at=progress_at
     )
 
 
-def number(*connections: object) -> dict[liveness.ConnectionId, liveness.Connection]:
-    return {liveness.ConnectionId(index): one for index, one in enumerate(connections)}  # type: ignore[misc]
+def assign_ids(*connections: object) -> dict[liveness.ConnectionId, liveness.Connection]:
+    return {liveness.ConnectionId(index): each for index, each in enumerate(connections)}  # type: ignore[misc]
 
 
-IDLE = make(Phase.IDLE, 9.0, 9.9)
-OLD = make(Phase.IDLE, 4.0, 4.9)
-STUCK = make(Phase.AWAITING, 9.5, 9.4)
-BUSY = make(Phase.AWAITING, 9.9, 9.8)
-HELD = make(Phase.HELD_BY_CALLER, 5.0, 5.0)
-CONNECTING = make(Phase.CONNECTING, 0.0, 0.0, opened_at=9.999)
+IDLE = build_connection(Phase.IDLE, 9.0, 9.9)
+OLD = build_connection(Phase.IDLE, 4.0, 4.9)
+STUCK = build_connection(Phase.AWAITING, 9.5, 9.4)
+BUSY = build_connection(Phase.AWAITING, 9.9, 9.8)
+HELD = build_connection(Phase.HELD_BY_CALLER, 5.0, 5.0)
+CONNECTING = build_connection(Phase.CONNECTING, 0.0, 0.0, opened_at=9.999)
 
 
 @pytest.mark.parametrize(
@@ -38,17 +40,17 @@
         ([BUSY, BUSY], "open", None, ()),
         ([BUSY, BUSY, CONNECTING], "wait", None, ()),
         ([BUSY, OLD, CONNECTING], "open", None, (1,)),
-        # An idle connection that progressed after the overdue one was asked is trusted.
+        # An idle connection is reused if it received bytes after the wait of the overdue one began.
         ([STUCK, IDLE], "reuse", 1, ()),
-        ([STUCK, make(Phase.IDLE, 9.0, 9.3)], "open", None, ()),
-        ([STUCK, make(Phase.IDLE, 9.0, 9.3), BUSY], "open", None, (1,)),
+        ([STUCK, build_connection(Phase.IDLE, 9.0, 9.3)], "open", None, ()),
+        ([STUCK, build_connection(Phase.IDLE, 9.0, 9.3), BUSY], "open", None, (1,)),
     ],
 )
 def test_pick(
     connections: list[object], use: str, which: int | None, retire: tuple[int, ...]
 ) -> None:
     """Guards against reuse of a silent connection, and against probing where connecting does."""
-    pick = liveness.pick(number(*connections), now=10.0, max_connections=3, p99_s=P99_S)
+    pick = liveness.pick(assign_ids(*connections), now=10.0, max_connections=3, p99_s=P99_S)
     assert (pick.action.value, pick.connection, pick.retire) == (use, which, retire)
 
 
@@ -58,25 +60,25 @@
         ([BUSY, IDLE], [], "progressing"),
         ([STUCK, IDLE], [0], "progressing"),
         ([HELD, IDLE], [], "progressing"),
-        # All of them stopped together; nothing tells the target from its connections.
-        ([STUCK, make(Phase.IDLE, 9.0, 9.4)], [], "doubtful"),
-        ([STUCK, make(Phase.AWAITING, 9.6, 0.0, opened_at=9.6)], [], "stalled"),
+        # All connections stopped together: the target or its connections may have failed.
+        ([STUCK, build_connection(Phase.IDLE, 9.0, 9.4)], [], "doubtful"),
+        ([STUCK, build_connection(Phase.AWAITING, 9.6, 0.0, opened_at=9.6)], [], "stalled"),
         ([STUCK, STUCK], [], "doubtful"),
-        ([STUCK, make(Phase.AWAITING, 9.9, 0.0, opened_at=9.9)], [], "doubtful"),
+        ([STUCK, build_connection(Phase.AWAITING, 9.9, 0.0, opened_at=9.9)], [], "doubtful"),
     ],
 )
 def test_silence(connections: list[object], silent: list[int], health: str) -> None:
-    """Guards against a stopped target taken for a silent connection, and the reverse."""
-    all_ = number(*connections)
+    """Guards against taking a stopped target for a silent connection, and the reverse."""
+    all_ = assign_ids(*connections)
     assert liveness.find_silent(all_, now=10.0, p99_s=P99_S) == silent
     assert liveness.assess_health(all_, now=10.0, p99_s=P99_S).value == health
 
 
-def test_patience_follows_the_target() -> None:
-    """Guards against retiring the connections of a slow target."""
-    slow = number(STUCK, IDLE)
+def test_silence_timeout_follows_the_latency() -> None:
+    """Guards against closing the connections of a slow target."""
+    slow = assign_ids(STUCK, IDLE)
     assert liveness.find_silent(slow, now=10.0, p99_s=0.2) == []
-    assert liveness.find_idle(number(IDLE, OLD, BUSY), now=10.0) == [1]
+    assert liveness.find_idle(assign_ids(IDLE, OLD, BUSY), now=10.0) == [1]
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=300, database=None)
@@ -135,13 +137,13 @@
         ("pick", pick_open, test_bound_holds),
         ("MAX_IDLE_S", 99.0, lambda: test_pick([OLD], "open", None, ())),
         ("MIN_SILENT_S", 99.0, lambda: test_silence([STUCK, IDLE], [0], "progressing")),
-        ("SILENT_FACTOR", 0.0, test_patience_follows_the_target),
+        ("SILENT_FACTOR", 0.0, test_silence_timeout_follows_the_latency),
     ],
 )
 def test_broken_policy_is_found(
     monkeypatch: pytest.MonkeyPatch, name: str, value: object, check: object
 ) -> None:
-    """Guards against checks that pass whatever the code does."""
+    """Guards against tests that pass with a broken policy."""
     monkeypatch.setattr(liveness, name, value)
     with pytest.raises(AssertionError):
         check()  # type: ignore[operator]
--- a/tests/connection/test_pool_closed.py
+++ b/tests/connection/test_pool_closed.py
@@ -1,4 +1,4 @@
-"""Connections that the other end has closed while they were idle."""
+"""Tests of idle connections that the remote end has closed or has sent unsolicited bytes on."""
 
 import pytest
 import trio
@@ -28,16 +28,16 @@
 
 
 async def idle_connection(state: pool.Pool, address: identity.Address) -> pool.PooledConnection:
-    slot = (await pool.acquire(state, address, p99_s=None)).unwrap()
-    liveness.record_idle(slot.state, state.now())
-    return slot
+    pooled = (await pool.acquire(state, address, p99_s=None)).unwrap()
+    liveness.record_idle(pooled.state, state.now())
+    return pooled
 
 
 async def test_closed_connection_is_not_used_again(nursery: trio.Nursery) -> None:
-    """A rolling stop of the Darkroom: 141 tries ended with 502 although nothing could have run.
+    """Guards against sending a request on a connection that the remote end has closed.
 
-    A node that has stopped resets what is sent on a kept connection, and after a byte was sent
-    nobody can say that the request has not run.
+    During a rolling stop of the nodes, 141 requests ended with 502 although none had run. A stopped
+    node resets the connection, and once a byte was sent it is unknown whether the request has run.
     """
     address, accepted = await open_server(nursery)
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
@@ -50,7 +50,7 @@
 
 
 async def test_open_connection_is_used_again(nursery: trio.Nursery) -> None:
-    """New connections are priced, and take a round trip."""
+    """Guards against a new connection for each request, which costs money and a round trip."""
     address, _ = await open_server(nursery)
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
     first = await idle_connection(state, address)
@@ -69,9 +69,10 @@
 async def test_connection_with_unasked_bytes_is_not_used_again(
     nursery: trio.Nursery, extra: bytes
 ) -> None:
-    """A target that wrote an earlier refusal once more was believed for the next request.
+    """Guards against unsolicited bytes that are taken for the answer to the next request.
 
-    Not all of what a faulty target writes names a request.
+    A target repeated an earlier refusal, which was passed on for the next request. Not every answer
+    of a faulty target carries a request id.
     """
     address, accepted = await open_server(nursery)
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
@@ -84,7 +85,10 @@
 
 
 async def test_request_gets_no_connection_on_which_it_was_refused(nursery: trio.Nursery) -> None:
-    """Its own refusal, written once more, bears its name; other requests go on as before."""
+    """Guards against a repeated refusal that is taken for the answer to a retry.
+
+    It carries the id of the retried request. Other requests may use the connection as before.
+    """
     address, _ = await open_server(nursery)
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
     first = await idle_connection(state, address)
@@ -99,7 +103,10 @@
 async def test_connection_closed_behind_late_bytes_is_not_used_again(
     nursery: trio.Nursery,
 ) -> None:
-    """A second answer lay before the close, so that the next request was sent and lost."""
+    """Guards against a close that is overlooked because unread bytes of a second answer precede it.
+
+    The next request was sent on that connection and lost.
+    """
     address, accepted = await open_server(nursery)
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
     first = await idle_connection(state, address)
--- a/tests/connection/test_pool_silence.py
+++ b/tests/connection/test_pool_silence.py
@@ -1,4 +1,4 @@
-"""Requests that get no bytes for long, while others to the same address do."""
+"""Tests of requests that receive no bytes for slow, while others to the same address do."""
 
 import pytest
 import trio
@@ -12,9 +12,9 @@
 
 
 async def ask(state: pool.Pool) -> pool.PooledConnection:
-    slot = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
-    liveness.record_awaiting(slot.state, trio.current_time())
-    return slot
+    pooled = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
+    liveness.record_awaiting(pooled.state, trio.current_time())
+    return pooled
 
 
 @pytest.mark.parametrize(
@@ -24,21 +24,22 @@
 async def test_silence_ends_only_what_can_be_sent_again(
     autojump_clock: trio.testing.MockClock, is_repeatable: bool, is_begun: bool, is_ended: bool
 ) -> None:
-    """Orders that targets worked on for over 3 s ended as unknown, with time left.
+    """Guards against aborting a request that can't be sent again.
 
-    An answer that has begun at its caller was cut likewise when its rest was late.
+    Non-idempotent requests that took a target more than 3 s ended with an unknown outcome before
+    their deadline, and so did answers whose beginning had been passed on and whose rest was late.
     """
 
     async def connect(_: str) -> trio.abc.Stream:
         return trio.testing.memory_stream_pair()[0]
 
     state = pool.Pool(connect=connect, now=trio.current_time)
-    long = await ask(state)
-    long.is_repeatable = is_repeatable
-    long.is_reply_begun = lambda: is_begun
+    slow = await ask(state)
+    slow.is_repeatable = is_repeatable
+    slow.is_reply_begun = lambda: is_begun
     other = await ask(state)
     for _ in range(10):
         await trio.sleep(0.5)
         liveness.record_progress(other.state, trio.current_time())
         await pool.sweep(state, p99_s=attempt.TYPICAL_P99_S)
-    assert long.scope.cancel_called is is_ended
+    assert slow.scope.cancel_called is is_ended
--- a/tests/connection/test_wire_closed.py
+++ b/tests/connection/test_wire_closed.py
@@ -1,4 +1,4 @@
-"""Callers that close their connection while a request of theirs is under way."""
+"""Tests of callers that close their connection while a request is in flight."""
 
 import h11
 import pytest
@@ -6,8 +6,8 @@
 
 from ebonyvalve.connection import wire
 
-FIRST = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
-LONG = b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n"
+SHORT_REQUEST = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
+LONG_REQUEST = b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n"
 
 
 async def open_pair() -> tuple[wire.Wire, trio.SocketStream]:
@@ -16,11 +16,14 @@
     return wire.open_server(trio.SocketStream(ours)), trio.SocketStream(theirs)
 
 
-@pytest.mark.parametrize("data", [b"", LONG, FIRST + FIRST])
+@pytest.mark.parametrize("data", [b"", LONG_REQUEST, SHORT_REQUEST + SHORT_REQUEST])
 async def test_close_is_seen_behind_unread_bytes(data: bytes) -> None:
-    """A request whose caller had left was sent on, because bytes lay before the close."""
+    """Guards against forwarding a request whose caller has left.
+
+    The close was overlooked because unread bytes preceded it.
+    """
     conn, peer = await open_pair()
-    await peer.send_all(FIRST)
+    await peer.send_all(SHORT_REQUEST)
     assert isinstance((await wire.receive(conn)).unwrap(), h11.Request)
     await peer.send_all(data)
     await peer.aclose()
@@ -28,23 +31,26 @@
 
 
 async def test_looking_for_a_close_takes_no_bytes_from_who_reads() -> None:
-    """Guards against a pipelined request that is lost or read by two tasks."""
+    """Guards against a pipelined request that the check for a close loses or reads twice."""
     conn, peer = await open_pair()
-    await peer.send_all(FIRST)
+    await peer.send_all(SHORT_REQUEST)
     for _ in range(2):
         assert isinstance((await wire.receive(conn)).unwrap(), h11.Request)
         assert isinstance((await wire.receive(conn)).unwrap(), h11.EndOfMessage)
-        await peer.send_all(FIRST)
+        await peer.send_all(SHORT_REQUEST)
         assert not wire.is_closed_by_peer(conn)
         await wire.send(conn, h11.Response(status_code=204, headers=[]), h11.EndOfMessage())
         assert wire.recycle(conn)
 
 
 async def test_many_pipelined_bytes_are_no_close() -> None:
-    """A request ended without an answer, because its caller had sent the next ones already."""
+    """Guards against taking many pipelined bytes for a close.
+
+    A request ended without an answer because its caller had already sent the next ones.
+    """
     conn, peer = await open_pair()
     async with trio.open_nursery() as nursery:
-        await peer.send_all(FIRST)
+        await peer.send_all(SHORT_REQUEST)
         await wire.receive(conn)
         await wire.receive(conn)
         nursery.start_soon(peer.send_all, b"x" * 2 * wire.MAX_HEAD_BYTES)
@@ -57,9 +63,9 @@
 
 
 async def test_close_is_seen_while_a_body_is_unread() -> None:
-    """Nobody noticed that the caller of a request with a long body had left."""
+    """Guards against overlooking that the caller of a request with a long body has left."""
     conn, peer = await open_pair()
-    await peer.send_all(LONG + b"x" * 10_000)
+    await peer.send_all(LONG_REQUEST + b"x" * 10_000)
     await wire.receive(conn)
     with trio.move_on_after(0.1) as scope:
         await wire.wait_closed(conn)
@@ -69,6 +75,6 @@
     await peer.aclose()
     with trio.fail_after(1.0):
         await wire.wait_closed(conn)
-    # The body is for the task that passes it on, as fast as the target takes it.
+    # The body is left for the task that forwards it at the pace of the target.
     assert conn.http.trailing_data[0] == b""
     assert isinstance((await wire.receive(conn)).unwrap(), h11.Data)
--- a/tests/platform/mesh.py
+++ b/tests/platform/mesh.py
@@ -1,4 +1,4 @@
-"""Daemons, targets and the store on loopback in one process."""
+"""Runs daemons, targets and the store on loopback in one process."""
 
 import collections.abc
 import contextlib
@@ -20,7 +20,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Mesh:
-    """What runs: callers' addresses by node, the targets and the store."""
+    """The running mesh.
+
+    ``outbound`` and ``ready`` are the addresses of the nodes for callers and for readiness probes;
+    ``state`` is the store's. The lists are in the order of the nodes.
+    """
 
     state: metadata.Metadata
     outbound: list[str]
@@ -30,7 +34,7 @@
 
 
 def find_ports(count: int) -> list[int]:
-    return [network.split_address(one)[1] for one in demo.pick_addresses(count)]
+    return [network.split_address(address)[1] for address in demo.pick_addresses(count)]
 
 
 def build_config(version: int, **changes: object) -> bytes:
@@ -93,10 +97,10 @@
 async def open_mesh(
     services: collections.abc.Sequence[str], *, work_s: float = 0.0
 ) -> collections.abc.AsyncIterator[Mesh]:
-    """Run a node with its target for each service named.
+    """Run one node with its target for each entry of ``services``.
 
-    :param services: one entry a node.
-    :param work_s: seconds that a target works for a request.
+    :param services: the service of each target.
+    :param work_s: seconds that a target works on a request.
     """
     state = metadata.Metadata(now=trio.current_time)
     metadata.put(state, "op", "config", build_config(1))
@@ -108,7 +112,7 @@
         for number, service in enumerate(services):
             ports = rest[5 * number : 5 * number + 5]
             place = settings.decode(write_settings(number, service, ports, store_port))
-            one = target.Target(
+            served = target.Target(
                 name=f"i-{number}",
                 service=service,
                 address=place.target_address,
@@ -116,13 +120,13 @@
                 is_keyed=service == KEYED,
                 work_s=work_s,
             )
-            mesh.targets.append(one)
+            mesh.targets.append(served)
             mesh.outbound.append(place.callers_address)
             mesh.ready.append(place.ready_address)
             nursery.start_soon(
-                network.listen_tcp, place.target_address, functools.partial(target.serve, one)
+                network.listen_tcp, place.target_address, functools.partial(target.serve, served)
             )
-            nursery.start_soon(target.report, one)
+            nursery.start_soon(target.report, served)
             mesh.daemons.append(await nursery.start(daemon.run, place))
         yield mesh
         nursery.cancel_scope.cancel()
@@ -130,7 +134,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Client:
-    """One kept connection of a caller."""
+    """A keep-alive connection of a caller. ``sent`` counts its requests."""
 
     stream: trio.abc.Stream
     http: h11.Connection
@@ -138,7 +142,7 @@
 
 
 async def poll(check: collections.abc.Callable[[], collections.abc.Awaitable[bool]]) -> None:
-    """Wait until a check holds; 400 tries of 50 ms end a wait in vain."""
+    """Wait until a check returns true; fail after 400 attempts, 50 ms apart."""
     for _ in range(400):
         if await check():
             return
@@ -161,27 +165,27 @@
 async def ask(
     client: Client, method: str, path: str, *, body: bytes = b"", **headers: str
 ) -> tuple[int, dict[str, str], bytes]:
-    """Send a request on a kept connection and return status, headers and body."""
+    """Send a request and return status, headers and body of the response."""
     client.sent += 1
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    sent = {
+    extra = {name.replace("_", "-"): value for name, value in headers.items()}
+    all_headers = {
         "host": HOST,
         "content-length": str(len(body)),
         "x-attempt-id": f"{id(client):x}-{client.sent}",
         "x-deadline-ms": "2000",
-        **named,
+        **extra,
     }
-    head = h11.Request(method=method, target=path, headers=list(sent.items()))
+    head = h11.Request(method=method, target=path, headers=list(all_headers.items()))
     await http.send_message(client.stream, client.http, head, body)
     reply, content = await http.receive_message(client.stream, client.http)
     assert isinstance(reply, h11.Response)
     client.http.start_next_cycle()
-    found = {name.decode(): value.decode() for name, value in reply.headers}
-    return reply.status_code, found, content
+    reply_headers = {name.decode(): value.decode() for name, value in reply.headers}
+    return reply.status_code, reply_headers, content
 
 
 async def wait_status(client: Client, status: int, path: str, **headers: str) -> None:
-    """Wait until a request is answered with a status."""
+    """Repeat a GET request until it is answered with a status."""
 
     async def check() -> bool:
         return (await ask(client, "GET", path, **headers))[0] == status
--- a/tests/platform/test_announcement.py
+++ b/tests/platform/test_announcement.py
@@ -1,4 +1,4 @@
-"""Status reports of targets, and those of other writers."""
+"""Tests of the status reports' codec, also with invalid reports."""
 
 import hypothesis
 from hypothesis import strategies
@@ -21,7 +21,7 @@
 
 
 def test_report_is_decoded() -> None:
-    """A restart under the same id is another lifetime."""
+    """Guards against taking a restarted target with the same id for its former lifetime."""
     decoded = announcement.decode("i-1", msgspec.json.encode(REPORT))
     assert isinstance(decoded, announcement.Announcement)
     assert decoded.report.lifetime == "i-1@1786528994000"
@@ -41,24 +41,27 @@
         {"address": None},
     ],
 )
-def test_report_of_another_writer_is_refused(change: dict[str, object]) -> None:
-    """It names no target to use, and the reason names it."""
+def test_malformed_report_is_refused(change: dict[str, object]) -> None:
+    """Guards against using a malformed report, and against a reason without the target's name."""
     decoded = announcement.decode("i-1", msgspec.json.encode({**REPORT, **change}))
     assert isinstance(decoded, str) and "i-1" in decoded
 
 
 def test_unreadable_report() -> None:
-    """Bytes that are no report must not stop the node."""
+    """Guards against bytes that aren't a report and stop the node."""
     assert isinstance(announcement.decode("i-1", b"\x00\x01"), str)
 
 
 def test_answers() -> None:
-    """An answer without holds renews nothing; one with none takes everything away."""
+    """Guards against revoking all keys of a target by an empty list of holds.
+
+    An answer without ``holds`` renews nothing, while an empty list revokes everything.
+    """
     assert announcement.encode(None) == b"{}"
     assert announcement.encode(grant.Grant(spans=None, hold_s=0.0)) == b"{}"
     span = ledger.Span(first=0, last=9, fence=3, node="n", holder="i-1@1", handover="ab")
-    given = msgspec.json.decode(announcement.encode(grant.Grant(spans=(span,), hold_s=4.0)))
-    assert given == {"holds": [[0, 9, 3, "ab"]], "hold_s": 4.0}
+    answer = msgspec.json.decode(announcement.encode(grant.Grant(spans=(span,), hold_s=4.0)))
+    assert answer == {"holds": [[0, 9, 3, "ab"]], "hold_s": 4.0}
 
 
 DIGITS = b"9" * 30
@@ -90,14 +93,17 @@
 
 @pytest.mark.parametrize("body", ODD_REPORTS.values(), ids=ODD_REPORTS)
 def test_odd_report_is_refused(body: bytes) -> None:
-    """One odd report ended the node, or its figures failed later in divisions and headers."""
+    """Guards against accepting invalid values in a report.
+
+    They stopped the node at once, or made divisions and headers fail later.
+    """
     decoded = announcement.decode("i-1", body)
     assert isinstance(decoded, str) and "i-1" in decoded and len(decoded) < 400
 
 
 @pytest.mark.parametrize("name", ["", "i-1\r\nx", " i", "i" * 10_000, "\ud800"])
 def test_odd_name_of_a_target_is_refused(name: str) -> None:
-    """The name goes into a header of every request to the target."""
+    """Guards against a name that isn't valid in a header, as every request to the target has it."""
     assert isinstance(announcement.decode(name, msgspec.json.encode(REPORT)), str)
 
 
@@ -109,7 +115,7 @@
     )
 )
 def test_any_bytes_are_a_usable_report_or_a_reason(body: bytes) -> None:
-    """An exception here ended the process."""
+    """Guards against a report that raises an exception, which stopped the process."""
     decoded = announcement.decode("i-1", body)
     if isinstance(decoded, announcement.Announcement):
         assert 0 < 1 / decoded.slots <= 1
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback: daemons with targets and the stand-in of the store."""
+"""End-to-end tests on loopback: daemons with targets and a stand-in for the store."""
 
 import dataclasses
 import socket
@@ -17,28 +17,31 @@
 
 
 async def fetch_ready(mesh: mesh_module.Mesh, path: str) -> http.Reply:
-    """Ask the first node's ready address."""
+    """Fetch a page from the first node's ready address."""
     request = http.Request(method="GET", path=path)
     return (await http.fetch(network.connect_tcp, mesh.ready[0], request, timeout_s=5.0)).unwrap()
 
 
 async def test_requests_reach_the_owner_of_their_key() -> None:
-    """Each key runs at the one target that holds it, whatever node it comes to."""
+    """Guards against a keyed request that runs at a target which doesn't own its key.
+
+    Requests arrive at all nodes, whether these own the key or not.
+    """
     async with mesh_module.open_mesh(["lookup", "lookup", "orders"]) as mesh:
         clients = [await mesh_module.open_client(address) for address in mesh.outbound]
-        for slot in range(0, 65_536, 6553):
-            await mesh_module.wait_status(clients[2], 200, "/lookup/a", x_shard_key=str(slot))
+        for key_slot in range(0, 65_536, 6553):
+            await mesh_module.wait_status(clients[2], 200, "/lookup/a", x_shard_key=str(key_slot))
         for number in range(60):
-            slot = str(number * 1092)
+            key_slot = str(number * 1092)
             status, headers, _ = await mesh_module.ask(
-                clients[number % 3], "GET", "/lookup/x", x_shard_key=slot
+                clients[number % 3], "GET", "/lookup/x", x_shard_key=key_slot
             )
             assert (status, headers["x-response-seal"]) == (200, "seal")
-        assert all(one.ran for one in mesh.targets[:2])
+        assert all(target.ran for target in mesh.targets[:2])
 
 
 async def test_body_path_and_caller_are_passed_on() -> None:
-    """The target sees the caller's path and body, and the service of the caller's VM."""
+    """Guards against a changed path or body, and against a forged service of the caller."""
     async with mesh_module.open_mesh(["lookup", "orders"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -52,7 +55,7 @@
 
 
 async def test_echoed_bodies_survive_an_early_answer() -> None:
-    """An answer may begin while the last of a body is read; both sides write then."""
+    """Guards against a truncated answer that begins while the request body is still being sent."""
     async with mesh_module.open_mesh(["lookup", "orders"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -64,7 +67,7 @@
 
 
 async def test_unknown_routes_and_missing_targets() -> None:
-    """404 only for what no route allows; a missing target is a truthful 503."""
+    """Guards against answers other than 404 without a route and 503 without a target."""
     async with mesh_module.open_mesh(["orders"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -75,7 +78,7 @@
 
 
 async def test_new_configuration_is_applied() -> None:
-    """A version that comes by the feed is in force at once; an older one is not."""
+    """Guards against a new configuration that isn't applied, and against an older one that is."""
     async with mesh_module.open_mesh(["orders"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -90,7 +93,7 @@
 
 
 async def test_ready_once_configuration_and_mesh_are_known() -> None:
-    """The platform sends callers only to nodes that can route."""
+    """Guards against a node that never becomes ready, so that the platform sends it no callers."""
     async with mesh_module.open_mesh(["orders"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -99,7 +102,7 @@
 
 
 async def test_metrics_are_served() -> None:
-    """The ready address also answers with the counters."""
+    """Guards against a ready address that doesn't serve the metrics."""
     async with mesh_module.open_mesh(["orders"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -111,12 +114,12 @@
 
 @pytest.mark.parametrize("number", [1, 30])
 async def test_orders_run_once_each(number: int) -> None:
-    """Orders from several callers at once run exactly once each."""
+    """Guards against non-idempotent requests of concurrent callers that run twice."""
     async with mesh_module.open_mesh(["orders", "orders"], work_s=0.01) as mesh:
         warm = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(warm, 200, "/orders/warm")
-        for one in mesh.targets:
-            one.ran.clear()
+        for target in mesh.targets:
+            target.ran.clear()
         statuses: list[int] = []
 
         async def call() -> None:
@@ -127,7 +130,7 @@
         async with trio.open_nursery() as nursery:
             for _ in range(number):
                 nursery.start_soon(call)
-        ran = [name for one in mesh.targets for name in one.ran]
+        ran = [name for target in mesh.targets for name in target.ran]
         assert len(ran) == len(set(ran)) == statuses.count(200)
         assert statuses.count(200) + statuses.count(503) == number
 
@@ -136,35 +139,38 @@
     ("method", "node", "ran"), [("POST", 0, 1), ("POST", 1, 1), ("GET", 0, 0), ("GET", 1, 0)]
 )
 async def test_callers_that_leave(method: str, node: int, ran: int) -> None:
-    """An order that has begun goes on to its end, a lookup that nobody waits for is dropped.
+    """Guards against aborting a non-idempotent request whose caller has left.
 
-    A wipe that was broken off midway may have been half done, and a caller that comes back
-    can't know.
+    It may have run in part, which a caller that returns can't know. A repeatable request is
+    dropped, as nobody waits for it.
     """
     async with mesh_module.open_mesh(["orders", "lookup"], work_s=0.4) as mesh:
         client = await mesh_module.open_client(mesh.outbound[node])
         path, service = ("/orders/x", 0) if method == "POST" else ("/lookup/x", 1)
         key = {} if method == "POST" else {"x_shard_key": "1"}
         await mesh_module.wait_status(client, 200, path, **key)
-        one = mesh.targets[service]
-        one.ran.clear()
-        one.dropped = 0
+        target = mesh.targets[service]
+        target.ran.clear()
+        target.dropped = 0
         with trio.move_on_after(0.2):
             await mesh_module.ask(client, method, path, **key)
         await client.stream.aclose()
         await trio.sleep(0.6)
-        assert (len(one.ran), one.dropped) == (ran, 1 - ran)
+        assert (len(target.ran), target.dropped) == (ran, 1 - ran)
 
 
 async def test_order_whose_caller_has_left_does_not_begin() -> None:
-    """A node that wakes from a freeze reads orders that were given up seconds ago."""
+    """Guards against running a non-idempotent request whose caller has already left.
+
+    After a freeze, a node reads requests that their callers gave up seconds ago.
+    """
     async with mesh_module.open_mesh(["orders", "lookup"]) as mesh:
         warm = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(warm, 200, "/orders/warm")
         mesh.targets[0].ran.clear()
         for number in range(20):
             head = f"POST /orders/x HTTP/1.1\r\nhost: {mesh_module.HOST}\r\nx-attempt-id: {number}"
-            # Without a turn of the loop, so that the node finds the request and its end together.
+            # No await in between, so that the node reads the request and the close at once.
             with socket.create_connection(network.split_address(mesh.outbound[0])) as sock:
                 sock.sendall(f"{head}\r\ncontent-length: 0\r\n\r\n".encode())
         await trio.sleep(0.3)
@@ -173,9 +179,11 @@
 
 @pytest.mark.parametrize(("is_ending", "status"), [(False, 200), (True, 503)])
 async def test_target_works_while_its_node_stops(is_ending: bool, status: int) -> None:
-    """A rolling stop in a burst: 10 of 14 targets idled beside nodes that waited for callers to go.
+    """Guards against a stopping node that sends no requests to its target.
 
-    The target is reached only through its node, which has work to hand on until it ends.
+    During a rolling stop in a burst, 10 of 14 targets were idle beside nodes that waited for their
+    callers to leave. A target is reached only through its node, which has to forward requests until
+    it ends.
     """
     async with mesh_module.open_mesh(["orders", "lookup"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[1])
@@ -189,9 +197,12 @@
 async def test_endless_push_is_read_to_a_limit(
     autojump_clock: trio.testing.MockClock, unit: bytes, pause_s: float
 ) -> None:
-    """A message between nodes was read up to the largest body of a caller, however slowly."""
+    """Guards against reading a message from another node without a limit on size and time.
+
+    Messages were read up to the maximum body size of callers, however slowly they came.
+    """
     entry = test_origin.build_origin(0.0)
-    told: list[int] = []
+    statuses: list[int] = []
     received = 0
 
     async def receive() -> exchange.Chunk:
@@ -201,7 +212,7 @@
         return result.Success(unit)
 
     async def reply(status: int, headers: exchange.Headers) -> bool:
-        told.append(status)
+        statuses.append(status)
         return False
 
     async def finish() -> bool:
@@ -216,4 +227,4 @@
         await daemon.handle_push(entry, None, call, caller)  # type: ignore[arg-type]
     assert trio.current_time() - started_at <= daemon.PUSH_TIMEOUT_S
     assert received <= daemon.MAX_PUSH_BYTES + len(unit)
-    assert told in ([], [400])
+    assert statuses in ([], [400])
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""What the answers of targets mean."""
+"""Tests of the platform's headers and of the classification of answers."""
 
 import pytest
 
@@ -16,30 +16,30 @@
         (200, SEALED, delivery.ReplyKind.ANSWER),
         (500, SEALED, delivery.ReplyKind.ANSWER),
         (404, [], delivery.ReplyKind.ANSWER),
-        # A success without the target's seal is not the target's.
+        # A successful answer without a seal doesn't come from the target.
         (200, [(b"x-attempt-id", b"r1")], delivery.ReplyKind.UNTRUSTED),
-        # Nobody asks for an encoding, so that such a body is not the target's.
+        # No request asks for a content coding, so such a body doesn't come from the target.
         (200, [*SEALED, (b"content-encoding", b"gzip")], delivery.ReplyKind.UNTRUSTED),
         (503, [(b"x-not-executed", b"1")], delivery.ReplyKind.NOT_RUN),
         (429, [(b"x-not-executed", b"1")], delivery.ReplyKind.NOT_RUN),
-        # Another target has the address now.
+        # Another target uses the address now.
         (421, [(b"x-instance-id", b"i-9")], delivery.ReplyKind.WRONG_TARGET),
-        # To callers these promise that nothing has run; without the header, the target does not.
+        # A caller would conclude that nothing has run, which the target says only by the header.
         (408, [], delivery.ReplyKind.UNTRUSTED),
         (429, [], delivery.ReplyKind.UNTRUSTED),
         (503, [], delivery.ReplyKind.UNTRUSTED),
         (503, SEALED, delivery.ReplyKind.UNTRUSTED),
     ],
 )
-def test_judgements(
+def test_classification(
     status: int, headers: list[tuple[bytes, bytes]], expected: delivery.ReplyKind
 ) -> None:
-    """Only an answer that says so counts as not run."""
+    """Guards against taking an answer for "not run" that doesn't say so."""
     assert dialect.classify_reply(status, headers) is expected
 
 
-async def test_target_is_told_its_time_and_who_asks() -> None:
-    """In whole milliseconds, and at least one, whatever the caller has sent."""
+async def test_target_receives_its_budget_and_the_caller_service() -> None:
+    """Guards against a time budget that isn't a whole number of at least 1 ms."""
     call = test_origin.build_call(is_repeatable=True)
     lifetime = identity.Lifetime("i-1@5")
     headers = dict(dialect.build_headers(call, lifetime, 0.7004))
@@ -50,7 +50,7 @@
 
 
 def test_any_bytes_of_an_attempt_id_come_back() -> None:
-    """An id beyond ASCII made the target's own answer look like another request's."""
+    """Guards against a non-ASCII request id that makes an answer look like another request's."""
     headers = [(dialect.REQUEST_ID, b"\xff\xe9")]
     assert (
         dialect.correlate(headers, b"\xff\xe9".decode("latin-1")) is correlation.Correlation.MATCH
--- a/tests/platform/test_odd_input.py
+++ b/tests/platform/test_odd_input.py
@@ -1,4 +1,7 @@
-"""Input that ended the process: an exception in a connection's handler takes all tasks with it."""
+"""Tests of invalid input on every listener.
+
+An exception in the handler of one connection cancels all tasks and ends the process.
+"""
 
 import contextlib
 import dataclasses
@@ -28,7 +31,7 @@
 
 
 def build_hop(**changed: str) -> bytes:
-    """Return a request as another node sends it, with some headers changed."""
+    """Return a request that is forwarded by another node, with some headers changed."""
     headers = {
         "ebonyvalve-service": "orders",
         "ebonyvalve-deadline-ms": "1000",
@@ -107,13 +110,13 @@
 ]
 CASES = [
     (listener, raw)
-    for listener, many in [
+    for listener, requests in [
         ("callers_address", CALLERS),
         ("peers_address", PEERS),
         ("ready_address", READY),
         ("reports_address", CONTROL),
     ]
-    for raw in many
+    for raw in requests
 ]
 
 
@@ -121,7 +124,7 @@
     ("listener", "raw"), CASES, ids=[f"{name}-{n}" for n, (name, _) in enumerate(CASES)]
 )
 async def test_odd_bytes_cost_their_own_connection_only(listener: str, raw: bytes) -> None:
-    """A handler that raised ended the daemon and broke off all requests under way."""
+    """Guards against bytes that make a handler raise, which ended the daemon and its requests."""
     async with mesh_module.open_mesh(["orders"]) as mesh:
         client = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -155,7 +158,7 @@
 
 @pytest.mark.parametrize("answer", ODD_ANSWERS, ids=range(len(ODD_ANSWERS)))
 async def test_odd_answers_of_a_target_cost_their_own_request(answer: bytes) -> None:
-    """A faulty target may send anything; neither its node nor the others must end by it."""
+    """Guards against an answer of a faulty target that ends its node or another one."""
     async with mesh_module.open_mesh(["orders", "lookup"]) as mesh, trio.open_nursery() as nursery:
         client = await mesh_module.open_client(mesh.outbound[1])
         await mesh_module.wait_status(client, 200, "/orders/warm")
@@ -183,10 +186,10 @@
 
 
 async def are_ready(mesh: mesh_module.Mesh) -> bool:
-    """Return whether all nodes are ready; one that has just started has to read the store first."""
+    """Return whether all nodes are ready; a node has to read the store first after its start."""
     request = http.Request(method="GET", path="/readyz")
     for address in mesh.ready:
-        sent = await http.fetch(network.connect_tcp, address, request, timeout_s=2.0)
-        if sent.unwrap().status != 200:
+        fetched = await http.fetch(network.connect_tcp, address, request, timeout_s=2.0)
+        if fetched.unwrap().status != 200:
             return False
     return True
--- a/tests/platform/test_operator.py
+++ b/tests/platform/test_operator.py
@@ -1,4 +1,4 @@
-"""What the operator writes reaches every node, whatever becomes of single calls."""
+"""Tests that the operator's rows reach every node, even if single calls to the store fail."""
 
 import collections.abc
 import dataclasses
@@ -32,7 +32,7 @@
 def build_store(
     rows: list[table.Row], silent: list[bool]
 ) -> tuple[table.Store, collections.abc.Callable[[], int]]:
-    """Return a store whose follow never answers once it has fallen silent."""
+    """Return a store whose follow never answers while ``silent[0]`` is true."""
     version = [0]
 
     async def read(_: table.TableName) -> table.Rows:
@@ -57,10 +57,10 @@
     raise OSError("unreachable")
 
 
-async def test_news_that_another_node_names_are_read_at_once(
+async def test_version_that_another_node_advertises_is_read_at_once(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A follow that was lost with the store stays silent; other nodes' requests name the news."""
+    """Guards against waiting for a lost follow although other nodes advertise a newer version."""
     node = test_origin.build_origin(0.0).node
     current = traffic.CurrentTraffic()
     rows = [build_row("config", 4, mesh_module.build_config(2))]
@@ -90,7 +90,7 @@
 
 
 async def test_versions_never_go_back(autojump_clock: trio.testing.MockClock) -> None:
-    """A late or repeated row must not undo a newer one."""
+    """Guards against a late or repeated row that replaces a newer one."""
     node = test_origin.build_origin(0.0).node
     current = traffic.CurrentTraffic()
     for version, expected in ((5, 5), (3, 5), (6, 6)):
@@ -103,7 +103,7 @@
 async def test_bad_configuration_is_refused_with_every_reason(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The last good one stays."""
+    """Guards against an invalid configuration that replaces the last valid one."""
     node = test_origin.build_origin(0.0).node
     current = traffic.CurrentTraffic()
     good = build_row("config", 1, mesh_module.build_config(1))
@@ -156,7 +156,10 @@
 async def test_odd_configuration_leaves_the_last_good_one(
     value: bytes, autojump_clock: trio.testing.MockClock, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It ended the nodes, or failed later in waits and in headers of requests."""
+    """Guards against accepting invalid values in a configuration.
+
+    They ended the nodes, or failed later in waits and in headers of requests.
+    """
     node = test_origin.build_origin(0.0).node
     current = traffic.CurrentTraffic()
     caplog.set_level("INFO")
@@ -181,14 +184,14 @@
     ).map(lambda change: change_spec(0, **change))
 )
 def test_any_bytes_are_a_configuration_or_reasons(value: bytes) -> None:
-    """An exception here ended every node at once."""
+    """Guards against a configuration that raises an exception, which ended every node at once."""
     assert isinstance(configuration.decode(value), traffic.TrafficConfig | list)
 
 
-async def test_odd_version_that_another_node_names_is_forgotten(
+async def test_odd_version_that_another_node_advertises_is_forgotten(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A version beyond the store's counter hid all news that were named after it."""
+    """Guards against a version beyond the store's counter, which hid all later advertisements."""
     node = test_origin.build_origin(0.0).node
     rows = [build_row("config", 4, mesh_module.build_config(2))]
     silent = [False]
@@ -212,7 +215,10 @@
 async def test_version_of_a_removed_row_is_asked_for_once(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A node that starts after a removal has no row of that version, which all others name."""
+    """Guards against asking again and again for the version of a removed row.
+
+    A node that starts after a removal has no row of that version, which all others advertise.
+    """
     node = test_origin.build_origin(0.0).node
     rows = [build_row("config", 4, mesh_module.build_config(2))]
     store, _ = build_store(rows, [False])
@@ -236,7 +242,11 @@
 async def test_late_answer_brings_no_removed_evacuation_back(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A node's answer was complete up to 10, and came after the store had been read at 12."""
+    """Guards against a late answer that restores a removed evacuation.
+
+    The answer of another node was complete up to version 10 and came after the store had been read
+    at version 12.
+    """
     node = test_origin.build_origin(0.0).node
     current = traffic.CurrentTraffic()
     config = build_row("config", 4, mesh_module.build_config(2))
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process of its own: signals and settings that change."""
+"""Tests of the daemon as a separate process: signals and changes of the settings."""
 
 import collections.abc
 import contextlib
@@ -43,7 +43,7 @@
 
 
 def wait_logged(folder: pathlib.Path, text: str) -> str:
-    """Return the first line of the log that holds a text."""
+    """Return the first line of the log that contains a text."""
     ends_at = time.monotonic() + START_S
     while time.monotonic() < ends_at:
         for line in (folder / "log").read_text().splitlines():
@@ -66,9 +66,10 @@
 def test_signals_while_stopping_do_not_end_the_process(
     again: signal.Signals, tmp_path: pathlib.Path, ports: list[int]
 ) -> None:
-    """LOST on a mixed day of the Darkroom (seed 9162235837): stopped again 1.2 s after a stop.
+    """Guards against a second signal that kills the process while it stops.
 
-    The second signal met the default action, which cut all requests in flight.
+    In a Darkroom run (mixed day, seed 9162235837), a node got another stop signal 1.2 s after the
+    first. The default action of the signal ended the process and all requests in flight were lost.
     """
     with open_daemon(tmp_path, build_settings(ports)) as process:
         process.send_signal(signal.SIGTERM)
@@ -79,7 +80,10 @@
 
 
 def test_changed_settings_are_applied(tmp_path: pathlib.Path, ports: list[int]) -> None:
-    """The store may move; what only a new process can take is named in the log."""
+    """Guards against a changed store address that is ignored.
+
+    Changes that need a restart must be named in the log.
+    """
     with open_daemon(tmp_path, build_settings(ports, store=9)) as process:
         (tmp_path / "local.toml").write_bytes(build_settings(ports, store=11, node=2))
         process.send_signal(signal.SIGHUP)
@@ -88,7 +92,7 @@
 
 
 def test_broken_settings_are_refused(tmp_path: pathlib.Path, ports: list[int]) -> None:
-    """The last good settings stay, and the process goes on."""
+    """Guards against invalid settings that are applied or that end the process."""
     with open_daemon(tmp_path, build_settings(ports)) as process:
         (tmp_path / "local.toml").write_bytes(b"node = ")
         process.send_signal(signal.SIGHUP)
@@ -97,14 +101,17 @@
 
 
 def test_settings_that_change_without_a_signal(tmp_path: pathlib.Path, ports: list[int]) -> None:
-    """The platform need not tell."""
+    """Guards against a changed file that is ignored because the platform sent no signal."""
     with open_daemon(tmp_path, build_settings(ports, store=9)):
         (tmp_path / "local.toml").write_bytes(build_settings(ports, store=11))
         wait_logged(tmp_path, "event=settings-applied")
 
 
 async def test_settings_that_changed_during_the_start(ports: list[int]) -> None:
-    """Seen once beside load: the file changed between the first and the second look at it."""
+    """Guards against a change of the file between the first read and the first check.
+
+    This was seen once while the machine was under load.
+    """
     built = daemon.build(settings.decode(build_settings(ports, store=9)))
     body = build_settings(ports, store=11)
     with trio.move_on_after(0.1):
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""A settings file that can't be used is refused with the field's name."""
+"""Tests of the settings file: invalid ones are refused with the name of the field."""
 
 import hypothesis
 from hypothesis import strategies
@@ -12,7 +12,7 @@
 
 
 def test_good_settings() -> None:
-    """Fields that are not known are ignored; bounds may be true or false."""
+    """Guards against refusing unknown fields, and bounds that are true or false."""
     place = settings.decode(GOOD)
     assert (place.node, place.service, place.max_hold_s) == ("n1", "orders", 10.0)
     assert place.target_address == "127.0.0.1:5"
@@ -30,7 +30,7 @@
     ],
 )
 def test_broken_settings_name_the_field(broken: bytes, named: str) -> None:
-    """The daemon can't start; its one line must say what to mend."""
+    """Guards against an error at start that doesn't say which field to correct."""
     with pytest.raises(errors.SettingsError, match=named):
         settings.decode(broken)
 
@@ -55,7 +55,10 @@
     ],
 )
 def test_odd_settings_name_the_field(broken: bytes, named: str) -> None:
-    """A changed file with such values ended the running daemon, at once or at the next call."""
+    """Guards against accepting invalid values.
+
+    A changed file with such values ended the running daemon, at once or at its next call.
+    """
     assert broken != GOOD
     with pytest.raises(errors.SettingsError, match=named):
         settings.decode(broken)
@@ -63,6 +66,6 @@
 
 @hypothesis.given(strategies.binary() | strategies.text().map(lambda text: text.encode()))
 def test_any_bytes_are_settings_or_an_error(body: bytes) -> None:
-    """The file is read again while the daemon runs."""
+    """Guards against other exceptions, as the file is read again while the daemon runs."""
     with pytest.raises(errors.SettingsError):
         settings.decode(body)
--- a/tests/platform/test_sockets.py
+++ b/tests/platform/test_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets on the machine's own kernel: their options, and addresses that others have named."""
+"""Tests of socket options and of invalid addresses, with real sockets."""
 
 import functools
 
@@ -12,10 +12,10 @@
 
 
 async def test_caller_that_reads_late_gets_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An answer was cut when its caller didn't read for 3 s.
+    """Guards against aborting an answer because its caller doesn't read for 3 s.
 
-    ``TCP_USER_TIMEOUT`` ends a connection also while the other end acknowledges probes of a
-    closed window.
+    ``TCP_USER_TIMEOUT`` ends a connection even while the remote end acknowledges probes of a closed
+    window.
     """
     monkeypatch.setattr(sockets, "USER_TIMEOUT_MS", 300)
 
@@ -42,7 +42,10 @@
     + ["a..b:80", "a\0b:80", "é" * 70 + ":80", "127.0.0.1:" + "9" * 5000, "\ud800:80"],
 )
 async def test_address_that_cannot_be_connected_to_is_unreachable(address: str) -> None:
-    """Callers expect OSError; OverflowError, ValueError or UnicodeError ended the process."""
+    """Guards against exceptions other than OSError, the only one that is handled.
+
+    OverflowError, ValueError and UnicodeError ended the process.
+    """
     for connect in (sockets.connect, network.connect_tcp):
         with pytest.raises(OSError):
             await connect(address)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Contract of the metadata store's client, against the stand-in over HTTP on memory streams."""
+"""Tests of the store's client against the stand-in, by HTTP over memory streams."""
 
 import dataclasses
 import functools
@@ -47,7 +47,7 @@
 async def test_commit_under_a_condition(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Two writers of one version: the second learns what the first has written."""
+    """Guards against a conflict that doesn't return what the first of two writers has written."""
     setup = build(nursery)
     first = await setup.store.commit({name_row("a"): 0}, {name_row("a"): b"one"})
     assert isinstance(first, table.Committed)
@@ -66,7 +66,7 @@
 async def test_all_pages_are_read(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A page holds 500 rows; the next one begins after its last key."""
+    """Guards against lost or repeated rows between pages of 500 rows."""
     setup = build(nursery)
     for number in range(1203):
         metadata.put(setup.state, TABLE, f"row-{number:05}", b"x")
@@ -78,7 +78,7 @@
 async def test_follow_returns_changes_and_removals(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A follow ends as soon as something changes, and marks rows that went."""
+    """Guards against a follow that waits on although a row changed, or hides a removal."""
     setup = build(nursery)
     metadata.put(setup.state, TABLE, "a", b"one")
     nursery.start_soon(_remove_later, setup.state)
@@ -97,7 +97,7 @@
 async def test_follow_of_lost_history(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """The store may discard its history sooner than it says."""
+    """Guards against missed changes if the store discards its history sooner than documented."""
     setup = build(nursery)
     metadata.put(setup.state, TABLE, "a", b"one")
     metadata.put(setup.state, TABLE, "a", b"two")
@@ -122,7 +122,10 @@
     trouble: table.Failure,
     is_applied: bool,
 ) -> None:
-    """Only a refusal says that nothing was done; after no answer a write may be applied."""
+    """Guards against taking an unanswered write for one that was not applied.
+
+    Only a refusal guarantees that nothing was written.
+    """
     setup = build(nursery)
     setup.state.faults["n1"] = fault
     assert await setup.store.commit({name_row("a"): 0}, {name_row("a"): b"one"}) is trouble
@@ -136,7 +139,7 @@
 async def test_store_that_accepts_no_connection(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Nothing was sent, so that nothing was done."""
+    """Guards against an unknown outcome although nothing was sent."""
 
     async def connect(_: str) -> trio.abc.Stream:
         raise OSError("refused")
@@ -184,9 +187,10 @@
 def test_odd_row_of_a_page_costs_itself(
     odd: bytes, value: bytes | None, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """One odd row made its page unreadable, and the node followed nothing any more.
+    """Guards against losing a whole page because of one invalid row.
 
-    A row whose name and version can be read stands as an empty one, which no decoder accepts.
+    The node could then follow no changes at all. A row whose name and version can be decoded is
+    kept with an empty value, which every decoder rejects.
     """
     client = build_client()
     good = msgspec.json.encode(GOOD_ROW)
@@ -194,8 +198,8 @@
     for _ in range(2):
         read = store._decode_rows(client, build_page(good, odd, last, now_s=3.5))
         assert isinstance(read, table.Rows)
-        found = {row.name.key: row.value for row in read.rows}
-        assert found == {"a": b"one", "c": b"one"} | ({} if value is None else {"b": value})
+        values = {row.name.key: row.value for row in read.rows}
+        assert values == {"a": b"one", "c": b"one"} | ({} if value is None else {"b": value})
         assert read.version == 9
         assert read.clock is not None and read.clock.read_s == 3.5
     logged = [entry for entry in caplog.records if entry.message == "row-unreadable"]
@@ -204,7 +208,7 @@
 
 @pytest.mark.parametrize("now_s", ["1e400", "-1", "null", '"3"', "[" * 5000 + "]" * 5000])
 def test_odd_clock_of_a_page_costs_itself(now_s: str) -> None:
-    """The rows are good without a reading of the clock."""
+    """Guards against refusing valid rows because of an invalid clock."""
     client = build_client()
     read = store._decode_rows(client, build_page(msgspec.json.encode(GOOD_ROW), now_s=now_s))
     assert isinstance(read, table.Rows)
@@ -214,8 +218,8 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"[]", b'{"rows":7}', b'{"rows":[],"ver":1e400}', DEEP]
 )
-def test_page_that_is_none_is_asked_for_again(body: bytes) -> None:
-    """Without its version, the node can't know what it has seen."""
+def test_undecodable_page_is_not_used(body: bytes) -> None:
+    """Guards against using a page without a valid version, which the next follow depends on."""
     client = build_client()
     answer = store.Answer(status=200, body=body, asked_at=0.0, answered_at=0.1)
     assert store._decode_rows(client, answer) is table.Failure.UNKNOWN
@@ -230,8 +234,8 @@
         )
     ).map(lambda rows: build_page(*rows).body)
 )
-def test_any_bytes_are_rows_or_a_trouble(body: bytes) -> None:
-    """An exception here ended the process."""
+def test_any_bytes_are_rows_or_a_failure(body: bytes) -> None:
+    """Guards against an answer that raises an exception, which stopped the process."""
     client = build_client()
     answer = store.Answer(status=200, body=body, asked_at=0.0, answered_at=0.1)
     assert isinstance(store._decode_rows(client, answer), table.Rows | table.Failure)
@@ -240,7 +244,7 @@
 async def test_unasked_answer_of_the_store_is_not_taken_for_the_next(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A second answer on a kept connection was believed for the next call, whatever it asked."""
+    """Guards against taking a second answer on a connection for the answer to the next call."""
     version = 0
 
     async def serve(stream: trio.abc.Stream) -> None:
@@ -263,7 +267,7 @@
 
 
 async def test_call_takes_no_connection_that_the_store_has_closed() -> None:
-    """A commit on such a connection ended without saying whether it was done."""
+    """Guards against reuse of a closed connection, where a commit ends with an unknown outcome."""
     async with trio.open_nursery() as nursery:
         accepted: list[trio.SocketStream] = []
 
@@ -288,7 +292,7 @@
 async def test_table_without_end_is_read_to_a_limit(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Pages that always announce another one were read until the memory was full."""
+    """Guards against pages without end, which were read until the memory was exhausted."""
     row = b'{"table":"mesh","key":"a","value":"","ver":1}'
     page = b'{"rows":[' + row + b'],"ver":1,"now_s":1.0,"has_more":true}'
     asked = 0
@@ -328,7 +332,7 @@
 @pytest.mark.parametrize("status", [201, 204, 301, 400, 413, 500, 502])
 @pytest.mark.parametrize("body", [b"{}", b'{"ver":12}'])
 def test_answer_with_another_status_says_nothing(status: int, body: bytes) -> None:
-    """It passed for a table without rows, and after a write for one that was done."""
+    """Guards against taking another status for a table without rows, or for an applied write."""
     answer = store.Answer(status=status, body=body, asked_at=0.0, answered_at=0.1)
     assert store._decode_rows(build_client(), answer) is table.Failure.UNKNOWN
 
@@ -337,7 +341,10 @@
 async def test_write_with_another_status_is_not_done(
     status: int, nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A node took its lease for written, and granted by it, after any answer with a JSON body."""
+    """Guards against taking a write for applied after an answer with another status.
+
+    A node took its lease for written, and granted keys by it, after any answer with a JSON body.
+    """
 
     async def respond(_: http.Request) -> http.Reply:
         return http.Reply(status=status, body=b"{}")
@@ -348,5 +355,5 @@
         return ours
 
     client = store.Client(address="10.0.0.1:1", connect=connect, now=trio.current_time)
-    done = await store.open_store(client).commit({name_row("a"): 0}, {name_row("a"): b"one"})
-    assert done is table.Failure.UNKNOWN
+    outcome = await store.open_store(client).commit({name_row("a"): 0}, {name_row("a"): b"one"})
+    assert outcome is table.Failure.UNKNOWN
--- a/tests/platform/test_tool.py
+++ b/tests/platform/test_tool.py
@@ -1,4 +1,4 @@
-"""Checking configurations of the platform before they are stored."""
+"""Tests of the command line for operators of the platform."""
 
 import functools
 import pathlib
@@ -22,7 +22,7 @@
 def test_sound_configuration_is_accepted(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Nothing but the verdict is printed."""
+    """Guards against output other than the verdict for a valid configuration."""
     assert tool.check(write(tmp_path, "a.json", mesh.build_config(1))) == tool.DONE
     assert capsys.readouterr().out == "accepted\n"
 
@@ -43,7 +43,7 @@
 def test_every_reason_is_named(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str], body: bytes, reason: str
 ) -> None:
-    """A junior operator must not have to ask why."""
+    """Guards against a refusal without its reason."""
     assert tool.check(write(tmp_path, "a.json", body)) == tool.REFUSED
     assert reason in capsys.readouterr().out
 
@@ -51,7 +51,7 @@
 def test_version_that_goes_back_is_refused(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """An accepted configuration never reverts."""
+    """Guards against a configuration that goes back to an older version."""
     old = write(tmp_path, "old.json", mesh.build_config(5))
     new = write(tmp_path, "new.json", mesh.build_config(4))
     assert tool.check(new, against=old) == tool.REFUSED
@@ -59,7 +59,7 @@
 
 
 def test_changes_are_listed(tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """What callers would notice is said before anything happens."""
+    """Guards against a change that callers would notice and that isn't listed beforehand."""
     old = write(tmp_path, "old.json", mesh.build_config(1))
     new = write(tmp_path, "new.json", mesh.build_config(2, hostname="new.example", timeout_s=1))
     assert tool.check(new, against=old) == tool.DONE
@@ -69,13 +69,13 @@
 
 
 def test_missing_file_is_named(tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """A mistyped name is not a broken configuration."""
+    """Guards against reporting a missing file as an invalid configuration."""
     assert tool.check(tmp_path / "none.json") == tool.REFUSED
     assert "No such file" in capsys.readouterr().out
 
 
 async def test_running_node_is_read(capsys: pytest.CaptureFixture[str]) -> None:
-    """Status, plan and explain ask the ready address of a daemon."""
+    """Guards against status, plan and explain that fail with a running daemon."""
     async with mesh.open_mesh([mesh.KEYED, mesh.KEYED, mesh.ORDERS]) as world:
         node = world.ready[0]
 
@@ -99,7 +99,7 @@
 
 
 def test_node_that_does_not_answer_is_named(capsys: pytest.CaptureFixture[str]) -> None:
-    """Not a traceback."""
+    """Guards against a traceback instead of a message."""
     (port,) = mesh.find_ports(1)
     assert tool.status(f"127.0.0.1:{port}") == tool.UNANSWERED
     assert "unreachable" in capsys.readouterr().err
