--- a/src/ebonyvalve/process/decoding.py
+++ b/src/ebonyvalve/process/decoding.py
@@ -1,8 +1,8 @@
-"""Reads what comes from outside the process. What can't be used is an outcome, never an exception.
+"""Decodes and validates input from outside the process.
 
-Rows of the store, messages of other nodes, reports of targets, headers and files may come from
-another writer. The forms of these state what a value may be, so that nothing fails later in
-arithmetic, in a header or in a wait.
+Rows of the store, messages of other nodes, reports of targets, headers and files may have been
+written by other software. Invalid input is returned as a failure and never raises. The types
+bound every value, so that none of them fails later in arithmetic, in a header or in a timeout.
 """
 
 import base64
@@ -19,11 +19,11 @@
 
 from ebonyvalve.process import decision, identity
 
-Form = typing.TypeVar("Form")
+Decoded = typing.TypeVar("Decoded")
 
-# Whole numbers up to this are exact in every reader of JSON.
+# JSON readers that use doubles represent integers exactly up to this.
 MAX_COUNT = 2**53 - 1
-# Far above any real figure, far below where sums lose whole seconds.
+# Far above any real duration, and small enough that sums of doubles stay exact to a second.
 MAX_SECONDS = 1e12
 MAX_SLOTS = 1_000_000
 MAX_LOAD = 1e9
@@ -38,7 +38,7 @@
 Seconds = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_SECONDS)]
 Load = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_LOAD)]
 
-# Everything that reading bytes, text or numbers of any content may raise.
+# Every exception that decoding arbitrary bytes, text or numbers may raise.
 DECODE_ERRORS = (msgspec.MsgspecError, ValueError, OverflowError, RecursionError)
 HOST_LABEL = r"[0-9A-Za-z_](?:[0-9A-Za-z_-]{0,61}[0-9A-Za-z_])?"
 HOST_PATTERN = re.compile(rf"(?:{HOST_LABEL}(?:\.{HOST_LABEL})*|\[[0-9A-Fa-f:.]+\])\Z")
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class UnreadableRows:
-    """Rows that can't be used, each with the version that was logged."""
+    """The store's rows that can't be decoded, each with the version that was logged."""
 
     versions: dict[str, int] = dataclasses.field(default_factory=dict)
 
@@ -56,13 +56,13 @@
 def record_unreadable(
     unreadable: UnreadableRows, log: logging.Logger, row: str, version: int, cause: str
 ) -> None:
-    """Note a row that can't be used, and log it once for each of its versions.
+    """Record a row that can't be decoded, and log it once for each of its versions.
 
     :param unreadable: the state.
-    :param log: the module's logger.
-    :param row: names the row.
-    :param version: its version.
-    :param cause: what is wrong with it.
+    :param log: the logger of the calling module.
+    :param row: the name of the row.
+    :param version: the version of the row.
+    :param cause: why it can't be decoded.
     """
     if unreadable.versions.get(row) == version:
         return
@@ -73,54 +73,54 @@
 
 
 def is_unreadable(unreadable: UnreadableRows, row: str) -> bool:
-    """Return whether a row can't be used.
+    """Return whether the last version of a row could not be decoded.
 
     :param unreadable: the state.
-    :param row: names the row.
+    :param row: the name of the row.
     """
     return row in unreadable.versions
 
 
 def record_readable(unreadable: UnreadableRows, row: str, version: int) -> None:
-    """Note that a row can be used, or is gone.
+    """Record that a row could be decoded or was removed.
 
     :param unreadable: the state.
-    :param row: names the row.
-    :param version: its version; an earlier one than that of the unreadable row says nothing.
+    :param row: the name of the row.
+    :param version: the version of the row; one older than the unreadable version is ignored.
     """
     if unreadable.versions.get(row, version) <= version:
         unreadable.versions.pop(row, None)
 
 
 def forget_missing(
-    unreadable: UnreadableRows, table: str, present: collections.abc.Container[str]
+    unreadable: UnreadableRows, table: str, existing: collections.abc.Container[str]
 ) -> None:
-    """Forget the rows of a table that are gone.
+    """Forget the unreadable rows of a table that no longer exist.
 
     :param unreadable: the state.
-    :param table: names the table.
-    :param present: the names of all its rows.
+    :param table: the name of the table.
+    :param existing: the names of all rows of the table.
     """
     for row in list(unreadable.versions):
-        if row.startswith(f"{table}/") and row not in present:
+        if row.startswith(f"{table}/") and row not in existing:
             del unreadable.versions[row]
 
 
 def accept_any(_: object) -> str:
-    """Return that nothing is wrong with a value of its form."""
+    """Accept every value of the type."""
     return ""
 
 
 def decode(
     body: bytes | msgspec.Raw,
-    form: type[Form],
-    find_fault: collections.abc.Callable[[Form], str] = accept_any,
-) -> result.Result[Form, str]:
-    """Return the value of a JSON text, or what is wrong with it.
+    form: type[Decoded],
+    find_fault: collections.abc.Callable[[Decoded], str] = accept_any,
+) -> result.Result[Decoded, str]:
+    """Decode JSON, and return the value or why it is invalid.
 
-    :param body: the text.
+    :param body: the JSON.
     :param form: the type of the value.
-    :param find_fault: returns what the form alone can't refuse, or an empty text.
+    :param find_fault: returns what is wrong with a value of that type, or an empty string.
     """
     try:
         value = msgspec.json.decode(body, type=form)
@@ -130,10 +130,10 @@
     return result.Failure(fault[:MAX_CAUSE_CHARS]) if fault else result.Success(value)
 
 
-def convert(tree: object, form: type[Form]) -> result.Result[Form, str]:
-    """Return the value of a tree of plain objects, or what is wrong with it.
+def convert(tree: object, form: type[Decoded]) -> result.Result[Decoded, str]:
+    """Convert a tree of plain objects, and return the value or why it is invalid.
 
-    :param tree: the objects, as a reader of another format returns them.
+    :param tree: the objects, as the parser of another format returns them.
     :param form: the type of the value.
     """
     try:
@@ -143,9 +143,9 @@
 
 
 def decode_base64(text: str) -> result.Result[bytes, str]:
-    """Return the bytes of a base64 text, or what is wrong with it.
+    """Decode base64, and return the bytes or why the text is invalid.
 
-    :param text: the text; characters outside the alphabet are not passed over.
+    :param text: the text; characters outside the alphabet are refused, not skipped.
     """
     try:
         return result.Success(base64.b64decode(text, validate=True))
@@ -153,77 +153,79 @@
         return result.Failure(describe_error(exc))
 
 
-def decompress(packed: bytes, *, max_bytes: int) -> result.Result[bytes, str]:
-    """Return what was packed with ``zlib``, or what is wrong with it.
+def decompress(compressed: bytes, *, max_bytes: int) -> result.Result[bytes, str]:
+    """Decompress ``zlib`` data, and return the bytes or why the data is invalid.
 
-    :param packed: the bytes.
-    :param most: how many bytes it may unpack to.
+    :param compressed: the data.
+    :param max_bytes: the most bytes that it may decompress to.
     """
     reader = zlib.decompressobj()
     try:
-        plain = reader.decompress(packed, max_bytes)
+        plain = reader.decompress(compressed, max_bytes)
     except zlib.error as exc:
         return result.Failure(describe_error(exc))
     return (
-        result.Success(plain) if reader.eof else result.Failure(f"no end within {max_bytes} bytes")
+        result.Success(plain)
+        if reader.eof
+        else result.Failure(f"truncated, or longer than {max_bytes} bytes")
     )
 
 
 def decode_compressed(
-    packed: bytes, form: type[Form], *, max_bytes: int
-) -> result.Result[Form, str]:
-    """Return the value of a packed MessagePack text, or what is wrong with it.
+    compressed: bytes, form: type[Decoded], *, max_bytes: int
+) -> result.Result[Decoded, str]:
+    """Decode compressed MessagePack, and return the value or why it is invalid.
 
-    :param packed: the text, packed with ``zlib``.
+    :param compressed: the MessagePack, compressed with ``zlib``.
     :param form: the type of the value.
-    :param most: how many bytes it may unpack to.
+    :param max_bytes: the most bytes that it may decompress to.
     """
-    unpacked = decompress(packed, max_bytes=max_bytes)
-    if not isinstance(unpacked, result.Success):
-        return result.Failure(unpacked.failure())
+    decompressed = decompress(compressed, max_bytes=max_bytes)
+    if not isinstance(decompressed, result.Success):
+        return result.Failure(decompressed.failure())
     try:
-        return result.Success(msgspec.msgpack.decode(unpacked.unwrap(), type=form))
+        return result.Success(msgspec.msgpack.decode(decompressed.unwrap(), type=form))
     except DECODE_ERRORS as exc:
         return result.Failure(describe_error(exc))
 
 
 def describe_error(exc: BaseException) -> str:
-    """Return a bounded text of what could not be read.
+    """Return the message of a decoding error, cut to a bounded length.
 
-    :param exc: one of ``UNREADABLE``.
+    :param exc: one of ``DECODE_ERRORS``.
     """
     return (str(exc) or type(exc).__name__)[:MAX_CAUSE_CHARS]
 
 
 def prune(body: bytes, depth: int) -> bytes:
-    """Return a JSON text with ``null`` for all that is nested deeper than given.
+    """Replace everything in a JSON text that is nested too deeply by ``null``.
 
-    Readers refuse a text as a whole when a single entry is nested too deeply.
+    JSON parsers refuse a whole text when a single entry of it is nested too deeply.
 
     :param body: the text.
-    :param depth: how many levels stay.
+    :param depth: the number of levels to keep.
     """
     parts: list[bytes] = []
-    level = kept = 0
-    for mark in JSON_TOKENS.finditer(body):
-        if mark.group() in OPENING_BRACKETS:
+    level = copied_to = 0
+    for token in JSON_TOKENS.finditer(body):
+        if token.group() in OPENING_BRACKETS:
             level += 1
             if level == depth + 1:
-                parts.extend((body[kept : mark.start()], b"null"))
-        elif len(mark.group()) == 1:
+                parts.extend((body[copied_to : token.start()], b"null"))
+        elif len(token.group()) == 1:
             if level == depth + 1:
-                kept = mark.end()
+                copied_to = token.end()
             level -= 1
-    return b"".join((*parts, body[kept:])) if level == 0 else body
+    return b"".join((*parts, body[copied_to:])) if level == 0 else body
 
 
 def read_count(text: str | bytes, *, max_value: int = MAX_COUNT) -> int | None:
-    """Return a whole number written in decimal digits, or ``None``.
+    """Return the value of decimal digits, or ``None`` if they are invalid.
 
     :param text: the digits.
-    :param most: the largest number that is taken.
+    :param max_value: the largest valid number.
     """
-    # Longer ones are out of range, and ``int`` takes time that grows with the square.
+    # Longer texts are out of range, and ``int`` takes time that is quadratic in their length.
     if len(text) > 20 or not text.isascii() or not text.isdigit():
         return None
     value = int(text)
@@ -231,10 +233,10 @@
 
 
 def read_number(text: str | bytes, *, max_value: float) -> float | None:
-    """Return a number from 0 up to a bound, or ``None``.
+    """Return the value of a number that is not negative, or ``None`` if it is invalid.
 
     :param text: the number.
-    :param most: the largest number that is taken.
+    :param max_value: the largest valid number.
     """
     try:
         value = float(text)
@@ -244,9 +246,9 @@
 
 
 def read_name(value: bytes) -> str | None:
-    """Return a name that came in a header, or ``None``.
+    """Return the name in a header, or ``None`` if it is invalid.
 
-    :param value: the bytes.
+    :param value: the value of the header.
     """
     try:
         name = value.decode()
@@ -256,17 +258,17 @@
 
 
 def is_name(text: str) -> bool:
-    """Return whether a text can stand in a header, a log line and the key of a row.
+    """Return whether a text may be used in a header, in a log line and in the key of a row.
 
     :param text: the text.
     """
-    # Lone surrogates, which have no bytes, are not printable.
+    # Lone surrogates, which can't be encoded, are not printable.
     is_plain = text.isprintable() and text == text.strip()
     return is_plain and 0 < len(text.encode()) <= MAX_NAME_BYTES
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is a host and a port to which a connection can be made.
+    """Return whether a text is a valid address of the form ``host:port``.
 
     :param text: the text.
     """
--- a/src/ebonyvalve/process/node.py
+++ b/src/ebonyvalve/process/node.py
@@ -1,4 +1,4 @@
-"""The state of one node: what it believes, and what it has told its target."""
+"""The state of one node, and the functions that read and update it."""
 
 import collections.abc
 import dataclasses
@@ -17,11 +17,12 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """The target beside this node, as it announced itself. Times are seconds.
+    """The target beside this node, as it last reported itself.
 
-    ``is_assumed`` says that the node has read of it in the table but has had no report yet.
-    ``is_dead`` says that its process has ended; one that is gone may still run and hold keys.
-    ``is_silent`` says that it has sent no report for so long that all its holds have ended.
+    ``reported_at`` is in seconds on the node's clock. ``is_assumed`` is set for a target that is
+    known only from the node's row in the store and has not reported yet. ``is_dead`` means that its
+    process has ended; a target that is gone but not dead may still run and hold keys.
+    ``is_silent`` means that it has not reported until after all of its holds have expired.
     """
 
     lifetime: identity.Lifetime
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class VersionedLedger:
-    """The ledger of a service with the version of its row."""
+    """The ledger of a service and the version of its row in the store."""
 
     ledger: ledger.Ledger
     version: int
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class VersionedLease:
-    """The lease of a node with the version of its row."""
+    """The lease of a node and the version of its row in the store."""
 
     row: lease.LeaseRow
     version: int
@@ -52,11 +53,12 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Node:
-    """Everything that lives as long as the process.
+    """The state that lives as long as the process.
 
-    ``is_stopping`` says that callers are to go elsewhere, ``is_ending`` that the target gets no
-    more work from this process. ``closed_at`` is when the target last stopped taking new work.
-    ``changed`` is replaced and set whenever something changes that others wait for.
+    ``is_stopping`` means that callers are sent to other nodes, ``is_ending`` that this process
+    sends no more work to the target. ``closed_at`` is when the target last stopped taking new work,
+    in seconds on the node's clock. ``changed`` is set and replaced by a new event on every state
+    change that other tasks may wait for.
     """
 
     place: place.Place
@@ -71,7 +73,7 @@
     loop_lag: lag.LoopLag = dataclasses.field(default_factory=lag.LoopLag)
     request_counters: counters.Counters = dataclasses.field(default_factory=counters.Counters)
     config: identity.ConfigVersion | None = None
-    # Why the newest configuration was not applied; empty if it was.
+    # Why the newest configuration was refused; empty if it was applied.
     refusal_reasons: tuple[str, ...] = ()
     policies: dict[identity.ServiceId, policy.ServicePolicy] = dataclasses.field(
         default_factory=dict
@@ -95,27 +97,28 @@
     closed_at: float = float("-inf")
     was_open: bool = False
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
-    # What the operator wrote: the newest version that was applied, the newest rows by key, the
-    # newest version that others have named, and who named it.
+    # The operator's rows: the newest version that was applied, and the newest row of each key.
     operator_version: int = 0
     operator_rows: dict[str, table.Row] = dataclasses.field(default_factory=dict)
-    # Rows that were removed before this version are not among them.
+    # Rows that were removed before this version are not in ``operator_rows``.
     operator_removals_since: int = 0
-    # The version as of which all rows were last told at once; a missing one was removed before.
+    # The version of the last full snapshot; a row that is missing from it was removed earlier.
     operator_snapshot_version: int = 0
-    # The store has told all of the operator's rows up to this version of its counter.
+    # The store has sent all of the operator's rows up to this version of its counter.
     operator_read_version: int = 0
+    # The newest version that another node has advertised, and that node. The event is set when it
+    # rises.
     advertised_version: int = 0
     advertised_by: identity.NodeId | None = None
     advertised: trio.Event = dataclasses.field(default_factory=trio.Event)
-    # Set when a follow of the operator's rows, or one of the others, is to be made anew: the store
-    # may have news for which it has been waiting in vain, or its answer is not needed any more.
+    # Set to restart a pending follow of the operator's rows, or of the other rows: the store may
+    # have changes that the follow has missed, or its answer is no longer needed.
     operator_follow_restart: trio.Event = dataclasses.field(default_factory=trio.Event)
     follow_restart: trio.Event = dataclasses.field(default_factory=trio.Event)
 
 
 def notify_changed(node: Node) -> None:
-    """Wake everything that waits for a change of the node's state.
+    """Wake all tasks that wait for a change of the node's state.
 
     :param node: the node.
     """
@@ -128,9 +131,9 @@
 
 
 def restart_follows(node: Node) -> None:
-    """End the follows of the store that are under way, and begin them anew.
+    """Restart the pending follows of the store.
 
-    A connection on which the store has lost an answer stays silent after its return.
+    A connection on which the store has lost an answer stays silent after the store has returned.
 
     :param node: the node.
     """
@@ -140,7 +143,7 @@
 
 
 def restart_operator_follow(node: Node) -> None:
-    """End the follow of the operator's rows that is under way, and begin it anew.
+    """Restart the pending follow of the operator's rows.
 
     :param node: the node.
     """
@@ -149,7 +152,7 @@
 
 
 def is_operator_stale(node: Node) -> bool:
-    """Return whether another node has applied newer rows of the operator.
+    """Return whether another node has applied newer operator rows than this one has.
 
     :param node: the node.
     """
@@ -165,11 +168,11 @@
 
 
 def record_advertised(node: Node, version: int, by: identity.NodeId | None = None) -> None:
-    """Note the newest row of the operator that another node has applied.
+    """Record the version of the newest operator row that another node has applied.
 
     :param node: the node.
-    :param version: its version in the store.
-    :param by: the other node, if that is known.
+    :param version: the row's version in the store.
+    :param by: the other node, if known.
     """
     if version <= read_operator_version(node) or version < node.advertised_version:
         return
@@ -182,16 +185,16 @@
 
 
 async def pause(node: Node, seconds: float) -> None:
-    """Wait on the node's timer service.
+    """Sleep by the node's timer.
 
     :param node: the node.
-    :param seconds: how long.
+    :param seconds: how long to sleep.
     """
     await timer.wait_until(node.wakeups, node.now() + seconds)
 
 
 def is_ready(node: Node) -> bool:
-    """Return whether callers may send requests here.
+    """Return whether the node is ready for requests of callers.
 
     :param node: the node.
     """
@@ -199,7 +202,7 @@
 
 
 def find_policy(node: Node, service: identity.ServiceId) -> policy.ServicePolicy | None:
-    """Return the policy of a service, or ``None`` if the configuration lacks it.
+    """Return the policy of a service, or ``None`` if it is not configured.
 
     :param node: the node.
     :param service: the service.
@@ -208,12 +211,12 @@
 
 
 def is_keyed(node: Node) -> bool:
-    """Return whether the target beside this node holds keys.
+    """Return whether the service of this node's target assigns keys to its targets.
 
     :param node: the node.
     """
-    own = find_policy(node, node.place.service)
-    return own is not None and own.is_keyed
+    service_policy = find_policy(node, node.place.service)
+    return service_policy is not None and service_policy.is_keyed
 
 
 def is_open(node: Node) -> bool:
@@ -230,15 +233,15 @@
 
 
 def read_view(node: Node, name: identity.NodeId) -> selection.TargetView:
-    """Return what is known of another node's target.
+    """Return what is known of another node's target, starting with defaults.
 
     :param node: the node.
     :param name: the other node.
     """
     view = node.target_views.get(name)
     if view is None:
-        known = node.members.get(name)
-        slots = known.slots if known else 1
+        other = node.members.get(name)
+        slots = other.slots if other else 1
         view = node.target_views[name] = selection.TargetView(
             slots=slots, request_load=selection.INITIAL_WORK_S / slots
         )
@@ -263,18 +266,18 @@
 
 
 def list_gauges(node: Node) -> dict[str, float]:
-    """Return present values for the metrics.
+    """Return the current values of the gauge metrics by name.
 
     :param node: the node.
     """
-    measured = measure_load(node)
+    load_report = measure_load(node)
     return {
         "running": len(node.admission.running),
         "queue_length": len(node.admission.waiting),
         "link_backlog_seconds": link.predict_backlog(node.admission.uplink, 0.0, node.now()),
-        "work_seconds": measured.work_s,
+        "work_seconds": load_report.work_s,
         "late_seconds": node.loop_lag.late_s,
-        "offered_load": measured.offered,
+        "offered_load": load_report.offered,
         "config_version": node.config or 0,
         "config_refused": float(bool(node.refusal_reasons)),
         "members": len(node.members),
@@ -291,16 +294,16 @@
     :param service: the service.
     """
     return [
-        one
-        for one in node.members.values()
-        if one.service == service
-        and one.state is member.TargetState.READY
-        and one.zone not in node.evacuated
+        other
+        for other in node.members.values()
+        if other.service == service
+        and other.state is member.TargetState.READY
+        and other.zone not in node.evacuated
     ]
 
 
 def record_silence(node: Node) -> None:
-    """Note whether the target has been without a report until its last hold ended.
+    """Update whether the target has been silent until its last hold expired.
 
     :param node: the node.
     """
@@ -308,8 +311,8 @@
     if target is None:
         return
     now = node.now()
-    spoke_until = target.reported_at + grant.choose_hold(node.place.heartbeat_s)
-    is_silent = now > node.grantor.ends_at and now > spoke_until
+    report_expires_at = target.reported_at + grant.choose_hold(node.place.heartbeat_s)
+    is_silent = now > node.grantor.ends_at and now > report_expires_at
     if is_silent is target.is_silent:
         return
     node.target = dataclasses.replace(target, is_silent=is_silent)
@@ -320,14 +323,14 @@
 
 
 def build_member(node: Node) -> member.Member | None:
-    """Return how this node announces itself, or ``None`` before its target has reported.
+    """Return this node's announcement, or ``None`` before its target has reported.
 
     :param node: the node.
     """
     target = node.target
     if target is None or target.is_assumed:
         return None
-    # A target that the platform has cut off still does work that needs no key.
+    # A target whose reports do not come through holds no keys, but still does work without keys.
     is_keyless = target.is_silent and target.state is member.TargetState.READY and is_keyed(node)
     return member.Member(
         node=node.place.node,
@@ -341,16 +344,16 @@
 
 
 def set_target(node: Node, target: Target, cold_left_s: float) -> None:
-    """Note what the target says of itself.
+    """Update the target from one of its reports.
 
     :param node: the node.
-    :param target: the target, as of a report that is newer than the last.
-    :param cold_left_s: for how many seconds it is cold.
+    :param target: the target as of a report that is newer than the last one.
+    :param cold_left_s: for how many more seconds it is cold.
     """
     before = node.target
     if before is None or before.lifetime != target.lifetime:
-        known = find_policy(node, node.place.service)
-        rate = known.cold_rate if known is not None else 0.0
+        service_policy = find_policy(node, node.place.service)
+        rate = service_policy.cold_rate if service_policy is not None else 0.0
         node.admission.cold_rate = rate
         admission.reset_work_times(node.admission)
         decision.record(log, logging.INFO, "target-started", target=target.lifetime)
@@ -365,11 +368,11 @@
 
 
 def set_target_gone(node: Node, reason: str, *, is_dead: bool) -> None:
-    """Note that the target is gone.
+    """Record that the target is gone.
 
     :param node: the node.
-    :param reason: how that is known.
-    :param is_dead: whether its process has ended, so that it holds no keys any more.
+    :param reason: how the node learned of it, for the log.
+    :param is_dead: whether its process has ended, so that it no longer holds keys.
     """
     target = node.target
     if target is None or (target.state is member.TargetState.GONE and target.is_dead >= is_dead):
@@ -388,30 +391,30 @@
     version: identity.ConfigVersion,
     policies: dict[identity.ServiceId, policy.ServicePolicy],
 ) -> None:
-    """Apply what a configuration says of the services.
+    """Apply the service policies of a configuration.
 
     :param node: the node.
-    :param version: its version, higher than the present one.
-    :param policies: its services.
+    :param version: the version of the configuration, higher than the current one.
+    :param policies: the policies by service.
     """
     node.config, node.policies, node.refusal_reasons = version, policies, ()
-    own = find_policy(node, node.place.service)
-    if own is not None:
-        node.admission.cold_rate = own.cold_rate
+    service_policy = find_policy(node, node.place.service)
+    if service_policy is not None:
+        node.admission.cold_rate = service_policy.cold_rate
     notify_changed(node)
 
 
 def set_evacuated(node: Node, zones: frozenset[identity.ZoneId]) -> None:
-    """Note the zones whose targets are to get nothing.
+    """Set the zones that are evacuated, whose targets get no work.
 
-    The targets of a zone that is taken back are cold until one of their reports says otherwise.
+    After an evacuation ends, the zone's targets count as cold until their reports say otherwise.
 
     :param node: the node.
-    :param zones: all of them.
+    :param zones: all evacuated zones.
     """
-    own = node.place.zone
-    known = find_policy(node, node.place.service)
-    if own in node.evacuated and own not in zones and known is not None:
-        admission.record_cold(node.admission, node.now() + known.cold_s)
+    zone = node.place.zone
+    service_policy = find_policy(node, node.place.service)
+    if zone in node.evacuated and zone not in zones and service_policy is not None:
+        admission.record_cold(node.admission, node.now() + service_policy.cold_s)
     node.evacuated = zones
     notify_changed(node)
--- a/src/ebonyvalve/process/observation/__init__.py
+++ b/src/ebonyvalve/process/observation/__init__.py
@@ -1,1 +1,1 @@
-"""What a process tells of itself: logs and metrics."""
+"""Logs and metrics of a process."""
--- a/src/ebonyvalve/process/observation/counters.py
+++ b/src/ebonyvalve/process/observation/counters.py
@@ -1,11 +1,11 @@
-"""Counters and latency histograms of one node, in the text format of Prometheus."""
+"""Request counters and latency histograms of a node, in the text format of Prometheus."""
 
 import bisect
 import collections
 import collections.abc
 import dataclasses
 
-# Bounds in seconds around the latency objectives of 0.1 to 1 s.
+# Upper bounds of the histogram buckets in seconds, around latency objectives of 0.1 to 1 s.
 BOUNDS_S = (0.005, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0)
 PREFIX = "ebonyvalve"
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -13,10 +13,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Counters:
-    """What was counted since the start.
+    """The counters since the process started.
 
-    ``requests`` by service, outcome and reason; ``latency`` by service, one count for each bound
-    and one for all above.
+    ``requests`` counts requests by service, outcome and reason. ``latency`` has one count for each
+    histogram bucket by service, the last for everything above the highest bound. ``latency_s`` is
+    the sum of the latencies in seconds by service.
     """
 
     requests: collections.Counter[tuple[str, str, str]] = dataclasses.field(
@@ -26,45 +27,47 @@
     latency_s: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
 
-def count(tally: Counters, service: str, outcome: str, reason: str, took_s: float) -> None:
-    """Count the end of a request.
+def count(counters: Counters, service: str, outcome: str, reason: str, took_s: float) -> None:
+    """Count a request that has ended.
 
-    :param tally: the counters.
-    :param service: its service.
-    :param outcome: what became of it.
-    :param reason: why.
-    :param took_s: seconds from its arrival.
+    :param counters: the counters.
+    :param service: the service.
+    :param outcome: how the request ended.
+    :param reason: the reason for the outcome.
+    :param took_s: seconds from the arrival of the request to its end.
     """
-    tally.requests[service, outcome, reason] += 1
-    buckets = tally.latency.setdefault(service, [0] * (len(BOUNDS_S) + 1))
+    counters.requests[service, outcome, reason] += 1
+    buckets = counters.latency.setdefault(service, [0] * (len(BOUNDS_S) + 1))
     buckets[bisect.bisect_left(BOUNDS_S, took_s)] += 1
-    tally.latency_s[service] += took_s  # type: ignore[assignment]
+    counters.latency_s[service] += took_s  # type: ignore[assignment]
 
 
-def render(tally: Counters, gauges: collections.abc.Mapping[str, float]) -> bytes:
-    """Return everything as text.
+def render(counters: Counters, gauges: collections.abc.Mapping[str, float]) -> bytes:
+    """Return all metrics in the text format of Prometheus.
 
-    ``prometheus_client`` writes it; it is imported here because most processes are never asked.
+    ``prometheus_client`` is imported here because most processes are never asked for metrics.
 
-    :param tally: the counters.
-    :param gauges: present values by name.
+    :param counters: the counters.
+    :param gauges: the current values of the gauges by name.
     """
     import prometheus_client
     from prometheus_client import core
 
     def collect() -> collections.abc.Iterator[core.Metric]:
-        counted = core.CounterMetricFamily(
+        request_count = core.CounterMetricFamily(
             f"{PREFIX}_requests", "Requests by outcome", labels=["service", "outcome", "reason"]
         )
-        for labels, number in tally.requests.items():
-            counted.add_metric(list(labels), number)
-        yield counted
-        timed = core.HistogramMetricFamily(
+        for labels, number in counters.requests.items():
+            request_count.add_metric(list(labels), number)
+        yield request_count
+        request_time = core.HistogramMetricFamily(
             f"{PREFIX}_request_seconds", "Seconds to the end of a request", labels=["service"]
         )
-        for service, buckets in tally.latency.items():
-            timed.add_metric([service], _accumulate(buckets), sum_value=tally.latency_s[service])
-        yield timed
+        for service, buckets in counters.latency.items():
+            request_time.add_metric(
+                [service], _accumulate(buckets), sum_value=counters.latency_s[service]
+            )
+        yield request_time
         for name, value in gauges.items():
             yield core.GaugeMetricFamily(f"{PREFIX}_{name}", name.replace("_", " "), value=value)
 
--- a/src/ebonyvalve/process/observation/output.py
+++ b/src/ebonyvalve/process/observation/output.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output, bounded in volume and never waited for."""
+"""Writes log lines to standard output, with a bounded rate and without ever blocking."""
 
 import collections.abc
 import dataclasses
@@ -7,20 +7,21 @@
 
 from ebonyvalve.process import decision
 
-# A node takes about a hundred requests a second; a line for each refusal of a short burst is
-# kept, while a long storm of them is cut to a sample.
+# A node gets about a hundred requests per second. Every refusal of a short burst is logged, a long
+# storm of refusals only as a sample.
 LINES_PER_S = 50.0
 BURST_LINES = 500.0
-# Only lines of single requests may be left out; each of the others says what the process believes.
+# Only lines about single requests may be omitted. All others record a change of the node's state.
 LIMITED_EVENTS = frozenset({"request", "attempt"})
 
 
 @dataclasses.dataclass(kw_only=True)
 class Output:
-    """A descriptor with what may still be written to it.
+    """A file descriptor for log lines, with a token bucket that limits their rate.
 
-    ``omitted`` counts lines left out since the last one that said so, ``blocked`` lines for which
-    the reader had no room.
+    ``omitted`` counts the lines omitted since the last line that stated their number, ``blocked``
+    the lines dropped because the pipe was full or closed. ``partial`` is the rest of a line of
+    which only a part could be written.
     """
 
     descriptor: int
@@ -33,7 +34,7 @@
 
 
 def open_output(descriptor: int, now: collections.abc.Callable[[], float]) -> Output:
-    """Return an output to a descriptor that is made non-blocking.
+    """Make a descriptor non-blocking, and return an output for it.
 
     :param descriptor: the descriptor.
     :param now: returns the time in seconds.
@@ -43,10 +44,10 @@
 
 
 def may_write(output: Output, event: str) -> bool:
-    """Return whether a line may be written, and count it.
+    """Return whether a line may be written, and count it against the limit.
 
     :param output: the output.
-    :param event: the line's event.
+    :param event: the event of the line.
     """
     if event not in LIMITED_EVENTS:
         return True
@@ -61,10 +62,10 @@
 
 
 def write(output: Output, line: str) -> None:
-    """Write a line, or drop it if the reader has no room.
+    """Write a line, or drop it if the pipe is full or closed.
 
     :param output: the output.
-    :param line: the line without its end.
+    :param line: the line, without a line break.
     """
     data = output.partial + line.encode("utf-8", "replace") + b"\n"
     try:
@@ -73,10 +74,10 @@
         output.blocked += 1
         return
     except OSError:
-        # The reader has gone; the process must not end because of it.
+        # The reader has closed the pipe, which must not end the process.
         output.blocked += 1
         return
-    # The rest of a line that was cut goes out before the next one.
+    # The rest of a line that was written only in part goes out before the next line.
     output.partial = data[written:]
 
 
@@ -84,10 +85,10 @@
     """Send the process's log lines to an output.
 
     :param output: the output.
-    :param form: how lines are written.
+    :param form: the format of the lines.
     :param level: the name of a level of :mod:`logging`.
     """
-    spell = decision.format_json if form is decision.LogForm.JSON else decision.format_text
+    format_entry = decision.format_json if form is decision.LogForm.JSON else decision.format_text
     handler = logging.Handler()
 
     def emit(entry: logging.LogRecord) -> None:
@@ -97,9 +98,9 @@
             fields = {**getattr(entry, "fields", {}), "omitted_before": output.omitted}
             entry.fields = fields
             output.omitted = 0
-        write(output, spell(entry))
+        write(output, format_entry(entry))
 
-    # logging calls the instance's emit, so a closure is enough and no subclass is needed.
+    # The logging module calls the instance's emit, so a closure is enough and needs no subclass.
     setattr(handler, "emit", emit)  # noqa: B010
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/src/ebonyvalve/process/place.py
+++ b/src/ebonyvalve/process/place.py
@@ -1,4 +1,4 @@
-"""Where a process runs and what it may use, as its settings say."""
+"""The settings of a node: its identity, its addresses and its limits."""
 
 import dataclasses
 
@@ -7,7 +7,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RetryAllowance:
-    """Repeats that all nodes together may send: ``ratio`` of the requests, and ``slack``."""
+    """How many retries all nodes together may send.
+
+    Within ``window_s`` seconds, that is ``ratio`` times the requests plus ``slack`` requests.
+    """
 
     ratio: float = 0.2
     window_s: float = 10.0
@@ -16,10 +19,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Place:
-    """The node, its addresses and the bounds it keeps to. Times are seconds.
+    """The node, its addresses and its limits. Times are in seconds.
 
-    ``callers_address`` is where callers on this VM send requests, ``peers_address`` where other
-    nodes do, ``reports_address`` where the target sends its status reports.
+    Callers on this VM send requests to ``callers_address``, other nodes send theirs to
+    ``peers_address``, and the target sends its status reports to ``reports_address``.
     """
 
     node: identity.NodeId
@@ -36,5 +39,5 @@
     drain_s: float
     grace_s: float
     retries: RetryAllowance
-    # Bytes a second that the VM's link carries; 0 if that is not known.
+    # Bytes per second that the VM's link carries; 0 if unknown.
     link_rate: float = 0.0
--- a/src/ebonyvalve/process/push.py
+++ b/src/ebonyvalve/process/push.py
@@ -1,4 +1,4 @@
-"""Tells other nodes what they should not wait for."""
+"""Sends messages to other nodes ahead of the store, which would deliver the same news later."""
 
 import collections.abc
 import logging
@@ -12,42 +12,42 @@
 log = logging.getLogger(__name__)
 
 TIMEOUT_S = 0.5
-# Other nodes answer with a status only.
+# The answer to a pushed message is a status without a body.
 MAX_ANSWER_BYTES = 1024
 
 
 def list_service_peers(node: node_module.Node) -> set[identity.NodeId]:
-    """Return the other nodes of the own service.
+    """Return the other nodes of this node's service.
 
     :param node: the node.
     """
     return {
-        one.node
-        for one in node.members.values()
-        if one.service == node.place.service and one.node != node.place.node
+        other.node
+        for other in node.members.values()
+        if other.service == node.place.service and other.node != node.place.node
     }
 
 
 async def send(
     node: node_module.Node,
     connect: network.Connect,
-    names: collections.abc.Set[identity.NodeId],
+    recipients: collections.abc.Set[identity.NodeId],
     path: str,
     body: bytes,
 ) -> None:
-    """Send a message to other nodes; one that is lost is not repeated.
+    """Send a message to other nodes. A message that is lost is not sent again.
 
     :param node: the node.
     :param connect: opens a connection.
-    :param names: the other nodes; those that are no members are left out.
-    :param path: names the message.
+    :param recipients: the other nodes; those that are not members are skipped.
+    :param path: the path that identifies the kind of message.
     :param body: the message.
     """
     request = http.Request(method="POST", path=path, body=body)
     async with trio.open_nursery() as nursery:
-        for one in list(node.members.values()):
-            if one.node in names:
-                nursery.start_soon(_send_to, connect, one.address, request)
+        for recipient in list(node.members.values()):
+            if recipient.node in recipients:
+                nursery.start_soon(_send_to, connect, recipient.address, request)
 
 
 async def _send_to(
--- a/src/ebonyvalve/process/signals.py
+++ b/src/ebonyvalve/process/signals.py
@@ -1,6 +1,7 @@
-"""The signals of a process, received for as long as it lives.
+"""Receives the process's signals until it exits.
 
-A second SIGTERM, or a SIGHUP, would otherwise end a process that is stopping gracefully.
+Without a receiver, a second SIGTERM or a SIGHUP would end a process that is shutting down
+gracefully.
 """
 
 import collections.abc
@@ -20,7 +21,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Signals:
-    """What was asked for: ``stop`` is set once, ``reload`` is replaced each time it is set."""
+    """The requests received so far.
+
+    ``stop`` is set by the first request to stop. ``reload`` is set and replaced by a new event on
+    each request to reload the settings.
+    """
 
     stop: trio.Event = dataclasses.field(default_factory=trio.Event)
     reload: trio.Event = dataclasses.field(default_factory=trio.Event)
@@ -28,7 +33,7 @@
 
 @contextlib.asynccontextmanager
 async def open_receiver() -> collections.abc.AsyncIterator[Signals]:
-    """Receive SIGTERM, SIGINT and SIGHUP until the block ends."""
+    """Receive SIGTERM, SIGINT and SIGHUP until the context exits."""
     signals = Signals()
     with trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as numbers:
         async with trio.open_nursery() as nursery:
--- a/src/ebonyvalve/process/store/__init__.py
+++ b/src/ebonyvalve/process/store/__init__.py
@@ -1,1 +1,1 @@
-"""The table that outlives every process."""
+"""The store, whose tables outlive every process."""
--- a/src/ebonyvalve/process/store/follow.py
+++ b/src/ebonyvalve/process/store/follow.py
@@ -1,23 +1,23 @@
-"""Follows of the table that are made anew when there is reason to doubt them."""
+"""Long polls of the store that can be interrupted when their answer is no longer needed."""
 
 import collections.abc
 import typing
 
 import trio
 
-Found = typing.TypeVar("Found")
+Answer = typing.TypeVar("Answer")
 
 
 async def run_interruptible(
-    call: collections.abc.Callable[[], collections.abc.Awaitable[Found]],
+    call: collections.abc.Callable[[], collections.abc.Awaitable[Answer]],
     wait: collections.abc.Callable[[], collections.abc.Awaitable[object]],
-) -> Found | None:
-    """Return the result of a call, or ``None`` if there is reason to make it anew.
+) -> Answer | None:
+    """Return the result of a call, or ``None`` if it was interrupted.
 
     :param call: makes the call.
-    :param wait: returns when there is reason.
+    :param wait: returns when the call is to be interrupted.
     """
-    found: Found | None = None
+    answer: Answer | None = None
     async with trio.open_nursery() as nursery:
 
         async def watch() -> None:
@@ -25,6 +25,6 @@
             nursery.cancel_scope.cancel()
 
         nursery.start_soon(watch)
-        found = await call()
+        answer = await call()
         nursery.cancel_scope.cancel()
-    return found
+    return answer
--- a/src/ebonyvalve/process/store/table.py
+++ b/src/ebonyvalve/process/store/table.py
@@ -1,4 +1,4 @@
-"""The table that outlives every process, as the decisions see it."""
+"""The interface of the store, whatever protocol it speaks."""
 
 import collections.abc
 import dataclasses
@@ -12,19 +12,19 @@
 
 
 class Failure(enum.Enum):
-    """Why a call of the store gave no result."""
+    """Why a call to the store gave no result."""
 
-    # Nothing was done: refused, or no connection was made.
+    # Nothing was done: the call was refused, or no connection was made.
     UNAVAILABLE = "unavailable"
-    # The answer was lost. A write may have been applied, or may be applied later.
+    # The answer was lost. The write may have been applied, or may still be applied later.
     UNKNOWN = "unknown"
-    # The history that a feed asked for is gone; read everything again.
+    # The changes that a follow asked for are no longer kept; the table has to be read again.
     HISTORY_GONE = "history-gone"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Name:
-    """The place of a row."""
+    """Identifies a row of the store."""
 
     table: TableName
     key: str
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Row:
-    """One row. Version 0 means that it does not exist."""
+    """A row. Version 0 means that it does not exist."""
 
     name: Name
     value: bytes = b""
@@ -45,7 +45,7 @@
 class Rows:
     """Rows as of one moment, with the newest version and a reading of the store's clock.
 
-    ``has_more`` says that they are one page of several.
+    ``has_more`` is set if this is one page of several.
     """
 
     rows: tuple[Row, ...]
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Committed:
-    """A transaction that was applied. ``version`` is the version of all rows that it wrote."""
+    """A transaction that was applied; ``version`` is the new version of all rows it wrote."""
 
     version: int
     clock: lease.StoreClock | None
@@ -64,18 +64,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Conflict:
-    """A transaction of which nothing was applied, with the rows of its conditions."""
+    """A transaction that was not applied, with the current rows that its conditions named."""
 
     rows: tuple[Row, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Store:
-    """The calls of the table.
+    """The calls of the store.
 
-    ``commit(expected versions, writes)`` applies all or nothing; ``None`` removes a row.
-    ``read`` returns all rows of a table's part; ``follow(table, version, wait seconds)`` returns
-    the rows that changed after a version as soon as there is one.
+    ``read(table)`` returns all rows of a table's part. ``follow(table, version, wait seconds)`` is
+    a long poll that returns the rows that changed after a version as soon as there is one.
+    ``commit(expected versions, writes)`` applies all writes or none; ``None`` removes a row.
     """
 
     read: collections.abc.Callable[[TableName], collections.abc.Awaitable[Rows | Failure]]
--- a/src/ebonyvalve/process/survey.py
+++ b/src/ebonyvalve/process/survey.py
@@ -1,4 +1,4 @@
-"""What one node believes at one moment, for operators who ask it."""
+"""A snapshot of one node's state, for operators and tools that query it."""
 
 import msgspec
 from returns import result
@@ -11,9 +11,9 @@
 class Peer(msgspec.Struct, kw_only=True, frozen=True):
     """A target as the node knows it.
 
-    ``offered`` is the work that arrives for it over the work it can do, ``load_age_s`` how old that
-    is in seconds; it is ``None`` if no answer has told it. ``avoided_s`` is for how much longer
-    requests pass it by.
+    ``offered`` is the work that arrives for it divided by the work it can do, and ``load_age_s``
+    the age of that figure in seconds, ``None`` if no answer has carried it yet. ``avoided_s`` is
+    for how many more seconds requests avoid the target.
     """
 
     member: member.Member
@@ -23,9 +23,10 @@
 
 
 class Survey(msgspec.Struct, kw_only=True, frozen=True):
-    """A node's beliefs. ``versions`` are those of the rows of ``ledgers``.
+    """The state of a node at one moment.
 
-    ``refused`` holds the reasons against the newest configuration that was not applied.
+    ``versions`` are the row versions of ``ledgers``. ``refused`` holds the reasons why the newest
+    configuration was refused; it is empty if that was applied.
     """
 
     node: identity.NodeId
@@ -42,7 +43,7 @@
 
 
 def take(node: node_module.Node) -> Survey:
-    """Return what a node believes now.
+    """Return the current state of a node.
 
     :param node: the node.
     """
@@ -53,27 +54,29 @@
         config=node.config,
         refused=node.refusal_reasons,
         evacuated=tuple(sorted(node.evacuated)),
-        keyed=tuple(sorted(name for name, known in node.policies.items() if known.is_keyed)),
+        keyed=tuple(sorted(name for name, policy in node.policies.items() if policy.is_keyed)),
         peers=tuple(describe(node, node.members[name]) for name in sorted(node.members)),
-        ledgers={name: book.ledger for name, book in node.ledgers.items()},
-        versions={name: book.version for name, book in node.ledgers.items()},
+        ledgers={name: versioned.ledger for name, versioned in node.ledgers.items()},
+        versions={name: versioned.version for name, versioned in node.ledgers.items()},
         gauges=node_module.list_gauges(node),
     )
 
 
-def describe(node: node_module.Node, known: member.Member) -> Peer:
+def describe(node: node_module.Node, announced: member.Member) -> Peer:
     """Return what a node knows of a target.
 
     :param node: the node.
-    :param known: the target, as its node announces it.
+    :param announced: the target, as its node announces it.
     """
-    if known.node == node.place.node:
-        return Peer(member=known, offered=node_module.measure_load(node).offered, load_age_s=0.0)
+    if announced.node == node.place.node:
+        return Peer(
+            member=announced, offered=node_module.measure_load(node).offered, load_age_s=0.0
+        )
     now = node.now()
-    view = node_module.read_view(node, known.node)
+    view = node_module.read_view(node, announced.node)
     age_s = now - view.reported_at
     return Peer(
-        member=known,
+        member=announced,
         offered=view.offered,
         load_age_s=None if age_s == float("inf") else age_s,
         avoided_s=max(0.0, view.avoid_until - now),
@@ -83,15 +86,15 @@
 def is_open(survey: Survey, peer: Peer) -> bool:
     """Return whether a target takes new work.
 
-    :param survey: what a node believes.
+    :param survey: the state of a node.
     :param peer: the target.
     """
-    known = peer.member
-    return known.state is member.TargetState.READY and known.zone not in survey.evacuated
+    announced = peer.member
+    return announced.state is member.TargetState.READY and announced.zone not in survey.evacuated
 
 
 def format_load(peer: Peer) -> str:
-    """Return a target's load and how old that is, in words.
+    """Return a target's load and its age as text.
 
     :param peer: the target.
     """
@@ -101,7 +104,7 @@
 
 
 def encode(survey: Survey) -> bytes:
-    """Return a survey as bytes.
+    """Return a survey as JSON.
 
     :param survey: the survey.
     """
@@ -109,8 +112,8 @@
 
 
 def decode(body: bytes) -> result.Result[Survey, str]:
-    """Return the survey that a node has sent, or what is wrong with it.
+    """Return the survey that a node has sent, or why it can't be read.
 
-    :param body: the bytes.
+    :param body: the JSON.
     """
     return decoding.decode(body, Survey)
