--- a/src/ebonyvalve/process/keyspace/__init__.py
+++ b/src/ebonyvalve/process/keyspace/__init__.py
@@ -1,1 +1,1 @@
-"""Ownership of key ranges by fenced grants."""
+"""Assignment of key ranges to targets: ledger, leases and grants with fencing tokens."""
--- a/src/ebonyvalve/process/keyspace/grant.py
+++ b/src/ebonyvalve/process/keyspace/grant.py
@@ -1,4 +1,7 @@
-"""What the target beside this node holds, and when a range that it loses is provably free."""
+"""Grants of key ranges to the target beside this node.
+
+Tracks what the target holds, and when a range that it gives up is certain to be free.
+"""
 
 import dataclasses
 
@@ -10,8 +13,9 @@
 class Report:
     """A status report of the target beside this node.
 
-    ``holds`` are ``(first, last, fence)`` that it holds or still works on, ``released`` are
-    ``(first, last, handover)`` that it released since its last answered report.
+    ``holds`` lists the ranges that it holds or still works on as ``(first, last, fence)``.
+    ``released`` lists those that it has released since its last answered report as
+    ``(first, last, handover)``.
     """
 
     lifetime: identity.Lifetime
@@ -22,9 +26,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Grant:
-    """The answer to a report: all that the target is to hold, and for how long.
+    """The answer to a report: every span that the target may hold, and for how many seconds.
 
-    ``None`` for ``spans`` renews nothing.
+    If ``spans`` is ``None``, no hold is renewed.
     """
 
     spans: tuple[ledger.Span, ...] | None
@@ -33,10 +37,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Grantor:
-    """What the node knows of the holds of the target beside it.
+    """What the node knows of its target's holds.
 
-    ``ends_at`` is when everything granted so far has lapsed. ``withheld`` maps the first and last
-    key of a range that answers leave out to the report that was answered so for the first time.
+    ``ends_at`` is when everything granted so far has expired, in seconds on the node's clock.
+    ``withheld`` has the ranges that answers leave out because they move, by first and last key,
+    each with the sequence number of the first report that was answered without it.
     """
 
     lifetime: identity.Lifetime = ledger.NO_HOLDER
@@ -49,10 +54,10 @@
 
 
 def choose_hold(heartbeat_s: float) -> float:
-    """Return for how many seconds a target holds its keys without a further answer.
+    """Return how many seconds a target may hold its keys without another answer.
 
-    Four lost reports in a row are rare; a target that has fallen silent blocks its keys for as
-    long as this.
+    Four lost reports in a row are rare. A longer hold would block the keys of a target that has
+    fallen silent for longer.
 
     :param heartbeat_s: seconds between two reports.
     """
@@ -62,16 +67,16 @@
 def start(*, now: float, max_hold_s: float) -> Grantor:
     """Return the state of a node that has just started.
 
-    The node before it may have granted keys until now.
+    The previous incarnation of the node may have granted keys until now.
 
     :param now: seconds on the node's clock.
-    :param max_hold_s: the longest hold that was ever granted.
+    :param max_hold_s: the longest hold that any incarnation grants, in seconds.
     """
     return Grantor(ends_at=lease.find_hold_end(now, max_hold_s))
 
 
 def record_report(grantor: Grantor, report: Report) -> None:
-    """Note what the target says.
+    """Update the state from a report of the target.
 
     :param grantor: the state.
     :param report: a report that is newer than the last one.
@@ -86,43 +91,46 @@
     grantor.released.extend(report.released)
 
 
-def answer(grantor: Grantor, book: ledger.Ledger | None, *, now: float, hold_s: float) -> Grant:
+def answer(grantor: Grantor, current: ledger.Ledger | None, *, now: float, hold_s: float) -> Grant:
     """Return the answer to the last report.
 
     :param grantor: the state.
-    :param book: the service's ledger, or ``None`` if it is not known.
+    :param current: the service's ledger, or ``None`` if it is not known.
     :param now: seconds on the node's clock.
-    :param hold_s: for how long the node may grant, in seconds of the target's clock.
+    :param hold_s: how long the node may grant, in seconds on the target's clock.
     """
-    if book is None or hold_s <= 0:
+    if current is None or hold_s <= 0:
         grantor.granted = ()
         return Grant(spans=None, hold_s=0.0)
-    held = ledger.list_held(book, grantor.lifetime)
-    spans = tuple(span for span in held if not span.successor)
-    moving = {(span.first, span.last) for span in held if span.successor}
+    held_spans = ledger.list_held(current, grantor.lifetime)
+    spans = tuple(span for span in held_spans if not span.successor)
+    moving = {(span.first, span.last) for span in held_spans if span.successor}
     grantor.withheld = {
-        place: grantor.withheld.get(place, grantor.sequence) for place in sorted(moving)
+        ends: grantor.withheld.get(ends, grantor.sequence) for ends in sorted(moving)
     }
     grantor.ends_at = max(grantor.ends_at, lease.find_hold_end(now, hold_s))
     grantor.granted = tuple((span.first, span.last) for span in spans)
     return Grant(spans=spans, hold_s=hold_s)
 
 
-def find_released(grantor: Grantor, book: ledger.Ledger, now: float) -> dict[int, str]:
-    """Return the moving spans that the target has certainly let go, with their handovers.
+def find_released(grantor: Grantor, current: ledger.Ledger, now: float) -> dict[int, str]:
+    """Return the handovers of the moving spans that the target has certainly released.
+
+    A span is released when the target has seen an answer without it and no longer reports it, or
+    when all holds have expired. The handovers are by first key; one is empty if none was given.
 
     :param grantor: the state.
-    :param book: the service's ledger.
+    :param current: the service's ledger.
     :param now: seconds on the node's clock.
     """
     free = {}
-    for span in ledger.list_held(book, grantor.lifetime):
+    for span in ledger.list_held(current, grantor.lifetime):
         if not span.successor:
             continue
-        since = grantor.withheld.get((span.first, span.last))
-        is_told = since is not None and grantor.sequence > since
+        withheld_since = grantor.withheld.get((span.first, span.last))
+        is_informed = withheld_since is not None and grantor.sequence > withheld_since
         is_held = any(first <= span.last and last >= span.first for first, last, _ in grantor.holds)
-        if (is_told and not is_held) or now > grantor.ends_at:
+        if (is_informed and not is_held) or now > grantor.ends_at:
             free[span.first] = _find_handover(grantor, span)
     return free
 
@@ -134,11 +142,13 @@
     return ""
 
 
-def is_granted(grantor: Grantor, slot: int, now: float) -> bool:
-    """Return whether the target holds a key by the last answer.
+def is_granted(grantor: Grantor, key_slot: int, now: float) -> bool:
+    """Return whether the last answer grants a key to the target.
 
     :param grantor: the state.
-    :param slot: the key.
+    :param key_slot: the slot of the key.
     :param now: seconds on the node's clock.
     """
-    return now < grantor.ends_at and any(first <= slot <= last for first, last in grantor.granted)
+    return now < grantor.ends_at and any(
+        first <= key_slot <= last for first, last in grantor.granted
+    )
--- a/src/ebonyvalve/process/keyspace/lease.py
+++ b/src/ebonyvalve/process/keyspace/lease.py
@@ -1,8 +1,8 @@
-"""How long a node may renew its target's keys, counted on the store's clock.
+"""Leases: how long a node may grant keys to its target, measured on the store's clock.
 
-A node writes the store time until which it renews. Others may take its keys once the store's own
-clock has passed that time, in a transaction that requires the row to be unchanged. So no two
-nodes' clocks are ever compared.
+A node writes to its lease row the store time until which it grants keys. Other nodes may take the
+keys over once the store's own clock has passed that time, in a transaction that requires the row
+to be unchanged. The clocks of two nodes are therefore never compared.
 """
 
 import dataclasses
@@ -13,22 +13,23 @@
 
 from ebonyvalve.process import decoding
 
-# A node survives a store that is away for LEASE_S - RENEW_S seconds. Outages of 9 s are usual.
+# A node keeps its keys through an outage of the store of LEASE_S - RENEW_S seconds. Outages of 9 s
+# are common.
 LEASE_S = 12.0
 RENEW_S = 2.5
-# Quartz clocks differ by far less than 0.1%; the users' targets by up to 2%.
+# Quartz clocks drift by far less than 0.1%; the clocks of targets by up to 2%.
 NODE_DRIFT = 0.001
 TARGET_DRIFT = 0.02
-# Covers the way of an answer within one machine and rounding.
+# Covers rounding and the time that an answer takes within one machine.
 MARGIN_S = 0.05
 
 
 class LeaseRow(msgspec.Struct, kw_only=True, frozen=True):
-    """A node's promise not to renew its target's keys after a time of the store's clock.
+    """A node's promise to grant its target no keys after a time on the store's clock.
 
-    ``incarnation`` is empty where the row could not be read and the promise is the latest possible.
-    ``offered`` and ``request_load`` are the load of its target when the row was written, for
-    nodes that had no answer from it lately.
+    ``incarnation`` is empty if the row could not be read and ``until_s`` is the latest possible.
+    ``offered`` and ``request_load`` are the load of the target when the row was written, for nodes
+    that have had no recent answer from it.
     """
 
     until_s: decoding.Seconds
@@ -39,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StoreClock:
-    """One reading of the store's clock, between two times of the node's clock, in seconds."""
+    """A reading of the store's clock, taken between two times on the node's clock, in seconds."""
 
     asked_at: float
     answered_at: float
@@ -47,35 +48,35 @@
 
 
 def decode(value: bytes) -> result.Result[LeaseRow, str]:
-    """Return the lease of a row, or what is wrong with it.
+    """Decode a lease row, and return the lease or why it is invalid.
 
-    :param value: the row's bytes.
+    :param value: the value of the row.
     """
     return decoding.decode(value, LeaseRow)
 
 
 def read_latest(clock: StoreClock, now: float) -> float:
-    """Return the latest time that the store's clock may show.
+    """Return the latest time that the store's clock may show now.
 
-    :param clock: a reading.
+    :param clock: a reading of the store's clock.
     :param now: seconds on the node's clock.
     """
     return clock.read_s + (now - clock.asked_at) * (1 + NODE_DRIFT)
 
 
 def read_earliest(clock: StoreClock, now: float) -> float:
-    """Return the earliest time that the store's clock may show.
+    """Return the earliest time that the store's clock may show now.
 
-    :param clock: a reading.
+    :param clock: a reading of the store's clock.
     :param now: seconds on the node's clock.
     """
     return clock.read_s + (now - clock.answered_at) * (1 - NODE_DRIFT)
 
 
 def choose_clock(known: StoreClock | None, new: StoreClock, now: float) -> StoreClock:
-    """Return the reading to go on with: the narrower one, or the new one if they contradict.
+    """Return the more precise of two readings, or the new one if they contradict each other.
 
-    An answer that took seconds says little of the store's clock.
+    An answer that took seconds gives only a rough reading of the store's clock.
 
     :param known: the reading in use.
     :param new: a reading that has just been taken.
@@ -90,10 +91,10 @@
 
 
 def renew(row: LeaseRow | None, clock: StoreClock, now: float) -> float:
-    """Return the store time until which a renewal shall last.
+    """Return the store time until which a renewed lease lasts.
 
-    It is never earlier than what the row says. Otherwise a renewal whose answer was lost would
-    let others take the keys while the node still believes in the longer lease.
+    It is never earlier than the end of the current lease. Otherwise a renewal whose answer is lost
+    would let other nodes take the keys while this one still relies on the longer lease.
 
     :param row: the lease that the node knows to be in the store.
     :param clock: a reading of the store's clock.
@@ -104,10 +105,11 @@
 
 
 def find_latest_end(clock: StoreClock | None, now: float) -> float:
-    """Return the store time by which all leases that have been written so far have ended.
+    """Return the store time by which every lease written so far has expired.
 
-    A node may count from a reading of the store's clock that is off by as long as a follow lasts,
-    which is less than a lease; the third covers the drift of an old reading.
+    A node may have computed its lease from a reading of the store's clock that is off by as long
+    as a long poll lasts, which is less than a lease. The third lease covers the drift of an old
+    reading.
 
     :param clock: a reading of the store's clock.
     :param now: seconds on the node's clock.
@@ -116,30 +118,30 @@
 
 
 def find_hold(row: LeaseRow | None, clock: StoreClock | None, now: float, max_s: float) -> float:
-    """Return for how many seconds of its own clock a target may hold its keys; 0 for not at all.
+    """Return how many seconds on its own clock a target may hold its keys; 0 if it may not.
 
     :param row: the node's lease as the store has it.
     :param clock: a reading of the store's clock.
     :param now: seconds on the node's clock.
-    :param most_s: the longest hold.
+    :param max_s: the longest hold in seconds.
     """
     if row is None or clock is None:
         return 0.0
-    left_s = row.until_s - read_latest(clock, now) - MARGIN_S
-    return max(0.0, min(max_s, left_s / (1 + TARGET_DRIFT)))
+    remaining_s = row.until_s - read_latest(clock, now) - MARGIN_S
+    return max(0.0, min(max_s, remaining_s / (1 + TARGET_DRIFT)))
 
 
 def find_hold_end(now: float, hold_s: float) -> float:
-    """Return when a hold given now has certainly ended, on the node's clock.
+    """Return when a hold granted now has certainly expired, in seconds on the node's clock.
 
     :param now: seconds on the node's clock when the answer was written.
-    :param hold_s: the hold in seconds of the target's clock.
+    :param hold_s: the hold in seconds on the target's clock.
     """
     return now + hold_s * (1 + TARGET_DRIFT) + MARGIN_S
 
 
 def is_expired(row: LeaseRow, clock: StoreClock, now: float) -> bool:
-    """Return whether a lease of another node has certainly ended.
+    """Return whether the lease of another node has certainly expired.
 
     :param row: the other node's lease.
     :param clock: a reading of the store's clock.
--- a/src/ebonyvalve/process/keyspace/ledger.py
+++ b/src/ebonyvalve/process/keyspace/ledger.py
@@ -1,7 +1,7 @@
-"""Which target holds which keys: the committed assignment of one service and its transitions.
+"""The ledger of a service: which target holds which keys, and the changes to that assignment.
 
-The ledger is one row of the table, changed by conditional writes only. Every function returns a
-new ledger; nothing here reads a clock or the network.
+The ledger is one row of the store and is changed by conditional writes only. Every function here
+is pure: it returns a new ledger and reads neither a clock nor the network.
 """
 
 import bisect
@@ -15,17 +15,18 @@
 from ebonyvalve.process import decoding, identity
 
 NO_HOLDER = identity.Lifetime("")
-# A ledger in which each of all keys has a span of its own comes near it.
+# A ledger in which every key has a span of its own is almost this large.
 MAX_BYTES = 8 * 1024 * 1024
-# Begins the ledgers of a release that did not pack them.
+# The first byte of a ledger written by an earlier release, which did not compress them.
 UNCOMPRESSED_START = b"{"
 
 
 class Span(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
-    """A range of keys with its holder.
+    """A range of keys and its holder.
 
-    ``heir`` is the target to which a planned move leads; the holder keeps the range until it has
-    released it. ``handover`` is what the last holder gave, for the present holder to show.
+    ``first`` and ``last`` are key slots. ``fence`` is the fencing token, which rises with each new
+    holder. ``successor`` is the target that gets the range in a planned move; the holder keeps it
+    until it has released it. ``handover`` is what the previous holder left for the current one.
     """
 
     first: decoding.KeySlot
@@ -39,14 +40,14 @@
 
 
 class Ledger(msgspec.Struct, kw_only=True, frozen=True):
-    """All spans of a service, in ascending order and without gaps."""
+    """The spans of a service, which cover all keys in ascending order."""
 
     spans: tuple[Span, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """A target that may hold keys. ``weight`` is its capacity against the others'; 0 takes none."""
+    """A target that may hold keys; ``weight`` is its relative capacity, 0 for no keys."""
 
     node: identity.NodeId
     lifetime: identity.Lifetime
@@ -57,16 +58,16 @@
     """Return the first ledger of a service.
 
     :param candidates: the targets known so far.
-    :param fence: no fence of an earlier ledger of the service is higher.
+    :param fence: at least the highest fence of any earlier ledger of the service.
     """
     vacant = Span(first=0, last=identity.LAST_SLOT, fence=fence, node="", holder=NO_HOLDER)
     return assign_vacant(Ledger(spans=(vacant,)), candidates)
 
 
 def encode(ledger: Ledger) -> bytes:
-    """Return the ledger as the bytes of its row.
+    """Encode a ledger as the value of its row.
 
-    Names repeat in it, and each write is read by every node.
+    It is compressed because names repeat in it and every node reads every write.
 
     :param ledger: the ledger.
     """
@@ -74,49 +75,49 @@
 
 
 def decode(value: bytes) -> result.Result[Ledger, str]:
-    """Return the ledger of a row, packed or not, or what is wrong with it.
+    """Decode a row, compressed or not, and return the ledger or why it is invalid.
 
-    :param value: the row's bytes.
+    :param value: the value of the row.
     """
     if value[:1] == UNCOMPRESSED_START:
         return decoding.decode(value, Ledger, find_fault)
-    unpacked = decoding.decompress(value, max_bytes=MAX_BYTES)
-    return unpacked.bind(lambda plain: decoding.decode(plain, Ledger, find_fault))
+    decompressed = decoding.decompress(value, max_bytes=MAX_BYTES)
+    return decompressed.bind(lambda plain: decoding.decode(plain, Ledger, find_fault))
 
 
 def find_fault(ledger: Ledger) -> str:
-    """Return why the spans don't give each key to one holder or to nobody, or an empty text.
+    """Return why the spans don't assign each key to at most one holder, or an empty string.
 
     :param ledger: the ledger.
     """
-    due = 0
+    next_key = 0
     for span in ledger.spans:
-        if span.first != due or span.last < span.first:
-            return f"span {span.first} to {span.last} does not begin at key {due}"
-        due = span.last + 1
-        is_half = bool(span.holder) != bool(span.node) or bool(span.successor) != bool(
+        if span.first != next_key or span.last < span.first:
+            return f"span {span.first} to {span.last} does not begin at key {next_key}"
+        next_key = span.last + 1
+        is_partial = bool(span.holder) != bool(span.node) or bool(span.successor) != bool(
             span.successor_node
         )
-        if is_half or (span.successor and not span.holder):
-            return f"span {span.first} to {span.last} names a target without its node"
+        if is_partial or (span.successor and not span.holder):
+            return f"span {span.first} to {span.last} names a target or a node without the other"
         names = (span.node, span.holder, span.successor_node, span.successor)
         if not all(decoding.is_name(name) for name in names if name):
-            return f"span {span.first} to {span.last} names no target"
-    return "" if due > identity.LAST_SLOT else f"keys from {due} on are in no span"
+            return f"span {span.first} to {span.last} has an invalid name"
+    return "" if next_key > identity.LAST_SLOT else f"keys from {next_key} on are in no span"
 
 
-def find_span(ledger: Ledger, slot: int) -> Span:
+def find_span(ledger: Ledger, key_slot: int) -> Span:
     """Return the span of a key.
 
     :param ledger: the ledger.
-    :param slot: the key.
+    :param key_slot: the slot of the key.
     """
-    index = bisect.bisect_right(ledger.spans, slot, key=lambda span: span.first) - 1
+    index = bisect.bisect_right(ledger.spans, key_slot, key=lambda span: span.first) - 1
     return ledger.spans[max(index, 0)]
 
 
 def list_held(ledger: Ledger, lifetime: identity.Lifetime) -> list[Span]:
-    """Return the spans that a target holds, those that it is about to lose included.
+    """Return the spans that a target holds, including those that are moving away from it.
 
     :param ledger: the ledger.
     :param lifetime: the target.
@@ -133,10 +134,10 @@
 
 
 def vacate(ledger: Ledger, is_lost: collections.abc.Callable[[Span], bool]) -> Ledger:
-    """Take spans from holders that can't serve them any more, without a handover.
+    """Take spans, without a handover, from holders that can no longer serve them.
 
     :param ledger: the ledger.
-    :param is_lost: whether the holder of a span has provably lost it.
+    :param is_lost: returns whether the holder of a span has certainly lost it.
     """
     return Ledger(
         spans=tuple(
@@ -153,10 +154,10 @@
 
 
 def complete_moves(ledger: Ledger, released: collections.abc.Mapping[int, str]) -> Ledger:
-    """Move released spans to their heirs.
+    """Give released spans to their successors.
 
     :param ledger: the ledger.
-    :param released: handovers by the first key of the span; empty if the holder gave none.
+    :param released: the handover of each span by its first key; empty if the holder gave none.
     """
     return Ledger(
         spans=tuple(
@@ -179,10 +180,10 @@
 
 
 def cancel_moves(ledger: Ledger, is_wrong: collections.abc.Callable[[Span], bool]) -> Ledger:
-    """Leave spans with their holders whose heirs can't take them any more.
+    """Cancel planned moves to successors that can no longer take the span.
 
     :param ledger: the ledger.
-    :param is_wrong: whether the heir of a span must not get it.
+    :param is_wrong: returns whether the successor of a span must not get it.
     """
     return Ledger(
         spans=tuple(
@@ -197,65 +198,77 @@
 
 
 def assign_vacant(ledger: Ledger, candidates: collections.abc.Iterable[Candidate]) -> Ledger:
-    """Give vacant keys to the candidates that hold least for their weight.
+    """Assign vacant keys to the candidates that hold the fewest keys for their weight.
 
-    Vacant ranges are cut where that evens out the shares, so that the keys of one lost target go
-    to several others.
+    Vacant ranges are split to even out the shares, so that the keys of one lost target go to
+    several others.
 
     :param ledger: the ledger.
-    :param candidates: targets that may take keys.
+    :param candidates: the targets that may take keys.
     """
-    able = sorted((one for one in candidates if one.weight > 0), key=lambda one: one.lifetime)
-    if not able or not any(span.holder == NO_HOLDER for span in ledger.spans):
+    eligible = sorted(
+        (candidate for candidate in candidates if candidate.weight > 0),
+        key=lambda candidate: candidate.lifetime,
+    )
+    if not eligible or not any(span.holder == NO_HOLDER for span in ledger.spans):
         return ledger
-    wanted = _find_shortfalls(ledger, able)
+    shortfalls = _find_shortfalls(ledger, eligible)
     spans: list[Span] = []
     for span in ledger.spans:
         if span.holder == NO_HOLDER:
-            spans.extend(_divide(span, wanted))
+            spans.extend(_divide(span, shortfalls))
         else:
             spans.append(span)
     return Ledger(spans=tuple(spans))
 
 
-def _find_shortfalls(ledger: Ledger, able: list[Candidate]) -> list[tuple[float, Candidate]]:
-    """Return how many keys each candidate lacks to its fair share, most first."""
-    total = sum(one.weight for one in able)
-    held = dict.fromkeys((one.lifetime for one in able), 0)
+def _find_shortfalls(ledger: Ledger, eligible: list[Candidate]) -> list[tuple[float, Candidate]]:
+    """Return how many keys each candidate lacks to its fair share, largest shortfall first."""
+    total_weight = sum(candidate.weight for candidate in eligible)
+    key_counts = dict.fromkeys((candidate.lifetime for candidate in eligible), 0)
     for span in ledger.spans:
         holder = span.successor or span.holder
-        if holder in held:
-            held[identity.Lifetime(holder)] += span.last - span.first + 1
+        if holder in key_counts:
+            key_counts[identity.Lifetime(holder)] += span.last - span.first + 1
     size = identity.LAST_SLOT + 1
     return sorted(
-        ((size * one.weight / total - held[one.lifetime], one) for one in able),
+        (
+            (size * candidate.weight / total_weight - key_counts[candidate.lifetime], candidate)
+            for candidate in eligible
+        ),
         key=lambda pair: -pair[0],
     )
 
 
-def _divide(span: Span, wanted: list[tuple[float, Candidate]]) -> collections.abc.Iterator[Span]:
-    """Cut a vacant span among the candidates with the largest shortfalls."""
+def _divide(
+    span: Span, shortfalls: list[tuple[float, Candidate]]
+) -> collections.abc.Iterator[Span]:
+    """Divide a vacant span among the candidates with the largest shortfalls."""
     first = span.first
     while first <= span.last:
-        wanted.sort(key=lambda pair: -pair[0])
-        lack, one = wanted[0]
-        left = span.last - first + 1
-        # A remainder of a few keys isn't worth a span of its own.
-        take = left if lack >= left - 1 or len(wanted) == 1 or lack < 1 else int(lack)
-        wanted[0] = (lack - take, one)
+        shortfalls.sort(key=lambda pair: -pair[0])
+        shortfall, candidate = shortfalls[0]
+        remaining = span.last - first + 1
+        # A remainder of a single key is not worth a span of its own.
+        take = (
+            remaining
+            if shortfall >= remaining - 1 or len(shortfalls) == 1 or shortfall < 1
+            else int(shortfall)
+        )
+        shortfalls[0] = (shortfall - take, candidate)
         yield msgspec.structs.replace(
             span,
             first=first,
             last=first + take - 1,
             fence=span.fence + 1,
-            node=one.node,
-            holder=one.lifetime,
+            node=candidate.node,
+            holder=candidate.lifetime,
         )
         first += take
 
 
 def find_receivers(before: Ledger, after: Ledger) -> set[identity.Lifetime]:
-    """Return the targets that hold keys which another one held before.
+    """Return the targets that have received keys from another holder.
 
     :param before: the earlier ledger.
     :param after: the later one.
@@ -268,17 +281,17 @@
 
 
 def find_affected_nodes(before: Ledger, after: Ledger) -> set[identity.NodeId]:
-    """Return the nodes that hold, have held or shall get the ranges that differ.
+    """Return the nodes that held, hold or are to get the ranges that have changed.
 
-    :param before: the earlier ledger; without spans, if there was none.
+    :param before: the earlier ledger; without spans if there was none.
     :param after: the later one.
     """
     names: set[str] = set()
     for span in after.spans:
-        old = find_span(before, span.first) if before.spans else None
-        if old is None or _read_ownership(old) != _read_ownership(span):
+        previous = find_span(before, span.first) if before.spans else None
+        if previous is None or _read_ownership(previous) != _read_ownership(span):
             names |= {span.node, span.successor_node}
-            names |= {old.node, old.successor_node} if old is not None else set()
+            names |= {previous.node, previous.successor_node} if previous is not None else set()
     return {identity.NodeId(name) for name in names if name}
 
 
@@ -286,13 +299,13 @@
     return span.fence, span.holder, span.successor
 
 
-def plan_move(ledger: Ledger, first: int, last: int, heir: Candidate) -> Ledger:
-    """Plan the move of a range to another target; spans are cut at its ends.
+def plan_move(ledger: Ledger, first: int, last: int, successor: Candidate) -> Ledger:
+    """Plan the move of a range to another target, splitting spans at its ends.
 
     :param ledger: the ledger.
     :param first: the first key.
     :param last: the last key.
-    :param heir: who shall get it.
+    :param successor: the target that is to get the range.
     """
     spans: list[Span] = []
     for span in ledger.spans:
@@ -304,9 +317,9 @@
         inside = msgspec.structs.replace(
             span, first=max(span.first, first), last=min(span.last, last)
         )
-        if inside.holder not in (heir.lifetime, NO_HOLDER):
+        if inside.holder not in (successor.lifetime, NO_HOLDER):
             inside = msgspec.structs.replace(
-                inside, successor=heir.lifetime, successor_node=heir.node
+                inside, successor=successor.lifetime, successor_node=successor.node
             )
         spans.append(inside)
         if span.last > last:
@@ -319,23 +332,27 @@
     lifetime: identity.Lifetime,
     candidates: collections.abc.Iterable[Candidate],
 ) -> Ledger:
-    """Plan the moves of all spans of a target that must hold none.
+    """Plan the moves of all spans away from a target.
 
     :param ledger: the ledger.
-    :param lifetime: the target that gives up its keys.
-    :param candidates: targets that may take them.
+    :param lifetime: the target that has to give up its keys.
+    :param candidates: the targets that may take them.
     """
-    able = [one for one in candidates if one.weight > 0 and one.lifetime != lifetime]
-    if not able:
+    eligible = [
+        candidate
+        for candidate in candidates
+        if candidate.weight > 0 and candidate.lifetime != lifetime
+    ]
+    if not eligible:
         return ledger
-    names = {one.lifetime for one in able}
-    wanted = _find_shortfalls(ledger, able)
+    names = {candidate.lifetime for candidate in eligible}
+    shortfalls = _find_shortfalls(ledger, eligible)
     spans: list[Span] = []
     for span in ledger.spans:
         if span.holder != lifetime or span.successor in names:
             spans.append(span)
             continue
-        for part in _divide(span, wanted):
+        for part in _divide(span, shortfalls):
             spans.append(
                 msgspec.structs.replace(
                     span,
--- a/src/ebonyvalve/process/keyspace/reconciliation.py
+++ b/src/ebonyvalve/process/keyspace/reconciliation.py
@@ -1,4 +1,4 @@
-"""Writes what the ledger of the own service needs, and answers the target's reports."""
+"""Keeps the ledger of the node's own service up to date, and answers its target's reports."""
 
 import dataclasses
 import logging
@@ -13,139 +13,150 @@
 
 log = logging.getLogger(__name__)
 
-# Looks at the ledger even if nothing has changed, because leases and holds end by time.
+# The ledger is checked this often even if nothing has changed, because leases and holds expire.
 CHECK_INTERVAL_S = 0.25
-# All VMs start within 0.3 s, and their targets report within a heartbeat.
+# How long the leader waits for targets before it writes the first ledger, in addition to one
+# heartbeat: all VMs start within 0.3 s, and their targets report within a heartbeat.
 DISCOVERY_S = 1.0
-# Lets the rates and loads after a move settle before the next one, at either end. Several busy
-# targets would else all relieve themselves at the expense of the same idle one.
+# The pause after a move, at both ends, until rates and loads are measured again. Without it,
+# several busy targets would all move keys to the same idle one.
 REBALANCE_PAUSE_S = 1.0
-# The rates of single keys are looked at this often at most.
+# The shortest interval between two checks of the rates of single keys.
 RATE_CHECK_INTERVAL_S = 0.5
-# After this long without an answer, the load in the other node's lease row may be newer.
+# If the last answer of a node is older than this, the load in its lease row may be newer.
 MAX_LOAD_AGE_S = 1.5
-# A target that is about to get keys is answered when they are free, but within the second after
-# which it gives an answer up.
+# The answer to a target that is about to receive keys waits this long for them to be released. The
+# target abandons the report after 1 s.
 ANSWER_WAIT_S = 0.6
-# The leader takes the keys of lost nodes at once; another one after this or twice this time, if the
-# leader has not.
+# The leader takes over the keys of lost nodes at once. The others wait one to two times as long as
+# this, in case the leader does not.
 TAKEOVER_PAUSE_S = 0.3
-# Leases that were read before are read again before keys are taken.
+# Leases read longer ago than this are read again before keys are taken over.
 MAX_LEASES_AGE_S = 1.0
 
 
-def answer_report(steward: records.Reconciler) -> grant.Grant | None:
-    """Return what the target is to hold, or ``None`` for a service without keys.
+def answer_report(reconciler: records.Reconciler) -> grant.Grant | None:
+    """Return the answer to the target's last report, or ``None`` for a service without keys.
 
-    :param steward: the state.
+    :param reconciler: the state.
     """
-    node = steward.node
+    node = reconciler.node
     if not node_module.is_keyed(node):
         return None
-    book = node.ledgers.get(node.place.service)
-    if book is not None and book.version < steward.min_ledger_version:
-        book = None
+    versioned_ledger = node.ledgers.get(node.place.service)
+    if versioned_ledger is not None and versioned_ledger.version < reconciler.min_ledger_version:
+        versioned_ledger = None
     given = grant.answer(
         node.grantor,
-        None if book is None else book.ledger,
+        None if versioned_ledger is None else versioned_ledger.ledger,
         now=node.now(),
-        hold_s=renewal.find_grant_hold(steward),
+        hold_s=renewal.find_grant_hold(reconciler),
     )
     node_module.notify_changed(node)
     return given
 
 
-async def reconcile(steward: records.Reconciler) -> None:
-    """Write what the ledger needs whenever something changes, until cancelled.
+async def reconcile(reconciler: records.Reconciler) -> None:
+    """Make the changes that the ledger needs whenever something changes, until cancelled.
 
-    :param steward: the state.
+    :param reconciler: the state.
     """
-    node = steward.node
+    node = reconciler.node
     while True:
         changed = node.changed
         node_module.record_silence(node)
         is_able = (
-            node_module.is_keyed(node) and node.is_mesh_known and steward.lease_row is not None
+            node_module.is_keyed(node) and node.is_mesh_known and reconciler.lease_row is not None
         )
-        if is_able and await _reconcile_once(steward):
+        if is_able and await _reconcile_once(reconciler):
             continue
         with trio.move_on_after(CHECK_INTERVAL_S):
             await changed.wait()
 
 
-async def _reconcile_once(steward: records.Reconciler) -> bool:
-    """Make one write if one is due; return whether the ledger has moved on."""
-    node = steward.node
+async def _reconcile_once(reconciler: records.Reconciler) -> bool:
+    """Write one change to the ledger if one is due; return whether the ledger has changed."""
+    node = reconciler.node
     service = node.place.service
-    book = node.ledgers.get(service)
+    versioned_ledger = node.ledgers.get(service)
     name = records.name_ledger_row(service)
     if decoding.is_unreadable(node.unreadable_rows, records.format_row_name(name)):
-        # A write can only be based on the row that is there, of which nothing is known.
+        # A write is conditional on the current row, whose content is unknown.
         return False
-    situation = observe(steward)
-    if book is None:
-        if not situation.is_leader or not _has_discovered(steward, situation):
+    observation = observe(reconciler)
+    if versioned_ledger is None:
+        if not observation.is_leader or not _has_discovered(reconciler, observation):
             return False
-        # A write raises a fence by one, so that none is above the store's counter of writes.
-        created = ledger.create(situation.candidates, fence=steward.mesh_version)
-        return await _write_ledger(steward, name, table.MISSING, created, {})
-    lost = ledger.list_nodes(book.ledger) & situation.expired_nodes
-    if not lost:
-        steward.takeover_at = None
-    elif not await _may_take_over(steward, situation):
-        situation = dataclasses.replace(situation, expired_nodes=situation.expired_nodes - lost)
-    proposed = plan.propose(book.ledger, situation)
-    if proposed == book.ledger:
-        return await _rebalance_once(steward, name, book, situation)
-    if not records.has_current_members(steward, book):
+        # Each write raises a fence by at most one, so that no fence of an earlier ledger exceeds
+        # the store's counter of writes.
+        created = ledger.create(observation.candidates, fence=reconciler.mesh_version)
+        return await _write_ledger(reconciler, name, table.MISSING, created, {})
+    lost_nodes = ledger.list_nodes(versioned_ledger.ledger) & observation.expired_nodes
+    if not lost_nodes:
+        reconciler.takeover_at = None
+    elif not await _may_take_over(reconciler, observation):
+        observation = dataclasses.replace(
+            observation, expired_nodes=observation.expired_nodes - lost_nodes
+        )
+    proposed = plan.propose(versioned_ledger.ledger, observation)
+    if proposed == versioned_ledger.ledger:
+        return await _rebalance_once(reconciler, name, versioned_ledger, observation)
+    if not records.has_current_members(reconciler, versioned_ledger):
         return False
-    # A node that is thought to have no lease must have none when its keys are taken.
-    ended = {
-        records.name_lease_row(lost): _read_lease_version(node, lost)
-        for lost in ledger.list_nodes(book.ledger) & situation.expired_nodes
+    # The write requires that the leases are unchanged, or missing where none is known.
+    ended_leases = {
+        records.name_lease_row(lost_node): _read_lease_version(node, lost_node)
+        for lost_node in ledger.list_nodes(versioned_ledger.ledger) & observation.expired_nodes
     }
-    return await _write_ledger(steward, name, book.version, proposed, ended)
+    return await _write_ledger(reconciler, name, versioned_ledger.version, proposed, ended_leases)
 
 
-async def _may_take_over(steward: records.Reconciler, situation: plan.Observation) -> bool:
-    """Return whether this node should take the keys of nodes whose leases are thought to be over.
+async def _may_take_over(reconciler: records.Reconciler, observation: plan.Observation) -> bool:
+    """Return whether this node should now take over the keys of nodes with expired leases.
 
-    All nodes think so at the same moment, and one write is enough. A node that the store has
-    refused for a while thinks so of nodes that have renewed their leases meanwhile.
+    All nodes see a lease expire at the same moment, but a single write is enough. A node that the
+    store has refused for a while may see leases as expired that have been renewed since, so it
+    reads them again first.
     """
-    node = steward.node
+    node = reconciler.node
     now = node.now()
-    if steward.takeover_at is None:
-        steward.takeover_at = (
-            now if situation.is_leader else now + TAKEOVER_PAUSE_S * (1 + node.draw())
+    if reconciler.takeover_at is None:
+        reconciler.takeover_at = (
+            now if observation.is_leader else now + TAKEOVER_PAUSE_S * (1 + node.draw())
         )
-    if now < steward.takeover_at:
+    if now < reconciler.takeover_at:
         return False
-    if now < steward.leases_read_at + MAX_LEASES_AGE_S:
+    if now < reconciler.leases_read_at + MAX_LEASES_AGE_S:
         return True
-    if now >= steward.leases_asked_at + MAX_LEASES_AGE_S:
-        await renewal.read_leases(steward)
+    if now >= reconciler.leases_asked_at + MAX_LEASES_AGE_S:
+        await renewal.read_leases(reconciler)
     return False
 
 
 def _read_lease_version(node: node_module.Node, name: identity.NodeId) -> int:
-    known = node.leases.get(name)
-    return table.MISSING if known is None else known.version
+    versioned_lease = node.leases.get(name)
+    return table.MISSING if versioned_lease is None else versioned_lease.version
 
 
 async def _write_ledger(
-    steward: records.Reconciler,
+    reconciler: records.Reconciler,
     name: table.Name,
     version: int,
     proposed: ledger.Ledger,
-    ended: dict[table.Name, int],
+    ended_leases: dict[table.Name, int],
 ) -> bool:
-    node = steward.node
-    known = node.ledgers.get(node.place.service)
-    based = known.ledger if known is not None else ledger.Ledger(spans=())
+    node = reconciler.node
+    current = node.ledgers.get(node.place.service)
+    base = current.ledger if current is not None else ledger.Ledger(spans=())
     writes: dict[table.Name, bytes | None] = {name: ledger.encode(proposed)}
-    writes.update(dict.fromkeys(one for one, held in ended.items() if held != table.MISSING))
-    done = await steward.store.commit({name: version, **ended}, writes)
+    writes.update(
+        dict.fromkeys(
+            row_name
+            for row_name, lease_version in ended_leases.items()
+            if lease_version != table.MISSING
+        )
+    )
+    done = await reconciler.store.commit({name: version, **ended_leases}, writes)
     decision.record(
         log,
         logging.INFO,
@@ -153,82 +164,92 @@
         result=type(done).__name__ if not isinstance(done, table.Failure) else done,
         based_on=version,
         spans=len(proposed.spans),
-        ended=",".join(one.key for one in ended),
+        ended=",".join(row_name.key for row_name in ended_leases),
     )
     if isinstance(done, table.Committed):
         node.ledgers[node.place.service] = node_module.VersionedLedger(
             ledger=proposed, version=done.version
         )
-        records.record_receivers(steward, based, proposed)
-        steward.nodes_to_notify |= ledger.find_affected_nodes(based, proposed)
-        for one in ended:
-            node.leases.pop(identity.NodeId(one.key), None)
+        records.record_receivers(reconciler, base, proposed)
+        reconciler.nodes_to_notify |= ledger.find_affected_nodes(base, proposed)
+        for row_name in ended_leases:
+            node.leases.pop(identity.NodeId(row_name.key), None)
         node_module.notify_changed(node)
         return True
     if isinstance(done, table.Conflict):
-        # The answer holds what has changed, so that the next write can be worked out from it.
-        if renewal.apply_conflict(steward, done.rows):
+        # The answer has the changed rows, from which the next write can be planned.
+        if renewal.apply_conflict(reconciler, done.rows):
             return True
     elif done is table.Failure.UNKNOWN:
-        # The write may have been done: what the table has decides.
-        await records.reload_mesh(steward)
-        await renewal.read_leases(steward)
-    await node_module.pause(steward.node, records.RETRY_S * (1 + node.draw()))
+        # The write may have been applied; only the store knows.
+        await records.reload_mesh(reconciler)
+        await renewal.read_leases(reconciler)
+    await node_module.pause(reconciler.node, records.RETRY_S * (1 + node.draw()))
     return False
 
 
 async def _rebalance_once(
-    steward: records.Reconciler,
+    reconciler: records.Reconciler,
     name: table.Name,
-    book: node_module.VersionedLedger,
-    situation: plan.Observation,
+    versioned_ledger: node_module.VersionedLedger,
+    observation: plan.Observation,
 ) -> bool:
-    relieved = _rebalance(steward, book.ledger, situation)
-    if relieved == book.ledger or not records.has_current_members(steward, book):
+    rebalanced = _rebalance(reconciler, versioned_ledger.ledger, observation)
+    if rebalanced == versioned_ledger.ledger or not records.has_current_members(
+        reconciler, versioned_ledger
+    ):
         return False
-    is_written = await _write_ledger(steward, name, book.version, relieved, {})
+    is_written = await _write_ledger(reconciler, name, versioned_ledger.version, rebalanced, {})
     if is_written:
-        steward.rebalanced_at = steward.node.now()
+        reconciler.rebalanced_at = reconciler.node.now()
     return is_written
 
 
 def _rebalance(
-    steward: records.Reconciler, book: ledger.Ledger, situation: plan.Observation
+    reconciler: records.Reconciler, planned: ledger.Ledger, observation: plan.Observation
 ) -> ledger.Ledger:
-    """Return the ledger with moves that relieve the own target, if it is too busy."""
-    node = steward.node
+    """Return the ledger with moves of keys to other targets, if the own one is too busy."""
+    node = reconciler.node
     now = node.now()
-    if situation.is_leaving or now < steward.rebalanced_at + REBALANCE_PAUSE_S:
-        return book
-    if now < steward.rates_read_at + RATE_CHECK_INTERVAL_S:
-        return book
-    steward.rates_read_at = now
-    own = next((one for one in situation.candidates if one.node == node.place.node), None)
-    if own is None:
-        return book
-    settling = {
-        name for name, at in steward.received_keys_at.items() if now < at + REBALANCE_PAUSE_S
+    if observation.is_leaving or now < reconciler.rebalanced_at + REBALANCE_PAUSE_S:
+        return planned
+    if now < reconciler.rates_read_at + RATE_CHECK_INTERVAL_S:
+        return planned
+    reconciler.rates_read_at = now
+    own_candidate = next(
+        (candidate for candidate in observation.candidates if candidate.node == node.place.node),
+        None,
+    )
+    if own_candidate is None:
+        return planned
+    unsettled = {
+        name for name, at in reconciler.received_keys_at.items() if now < at + REBALANCE_PAUSE_S
+    }
+    if own_candidate.lifetime in unsettled:
+        return planned
+    # Keys that move to the own target arrive after one or two heartbeats, too late to wait for.
+    unsettled |= {identity.Lifetime(span.successor) for span in planned.spans if span.successor}
+    loads = {
+        candidate.node: _estimate_load(reconciler, candidate)
+        for candidate in observation.candidates
     }
-    if own.lifetime in settling:
-        return book
-    # Keys that are on their way here come after a heartbeat or two, too late to wait for them.
-    settling |= {identity.Lifetime(span.successor) for span in book.spans if span.successor}
-    loads = {one.node: _estimate_load(steward, one) for one in situation.candidates}
     others = [
         load
         for name, load in loads.items()
-        if name != node.place.node and load.candidate.lifetime not in settling
+        if name != node.place.node and load.candidate.lifetime not in unsettled
     ]
     mean = sum(load.offered for load in loads.values()) / len(loads)
-    # Sorting the rates of thousands of keys is work that a calm target need not do.
-    if rebalancing.find_successor(loads[own.node], others, mean=mean) is None:
-        return book
-    held = ledger.list_held(book, own.lifetime)
-    rates.retain(node.key_rates, [(span.first, span.last) for span in held])
+    # Avoids sorting the rates of thousands of keys when nothing will be moved.
+    if rebalancing.find_successor(loads[own_candidate.node], others, mean=mean) is None:
+        return planned
+    held_spans = ledger.list_held(planned, own_candidate.lifetime)
+    rates.retain(node.key_rates, [(span.first, span.last) for span in held_spans])
     rates_by_slot = rates.read_rates(node.key_rates, now)
-    moves = rebalancing.find_moves(book, loads[own.node], others, rates_by_slot, mean=mean)
+    moves = rebalancing.find_moves(
+        planned, loads[own_candidate.node], others, rates_by_slot, mean=mean
+    )
     for move in moves:
-        book = ledger.plan_move(book, move.first, move.last, move.successor)
+        planned = ledger.plan_move(planned, move.first, move.last, move.successor)
         decision.record(
             log,
             logging.INFO,
@@ -236,117 +257,131 @@
             first=move.first,
             last=move.last,
             heir=move.successor.node,
-            own_load=round(loads[own.node].offered, 3),
+            own_load=round(loads[own_candidate.node].offered, 3),
             heir_load=round(loads[move.successor.node].offered, 3),
         )
-    return book
+    return planned
 
 
-def _estimate_load(steward: records.Reconciler, one: ledger.Candidate) -> rebalancing.Load:
-    node = steward.node
-    if one.node == node.place.node:
-        measured = node_module.measure_load(node)
+def _estimate_load(reconciler: records.Reconciler, candidate: ledger.Candidate) -> rebalancing.Load:
+    node = reconciler.node
+    if candidate.node == node.place.node:
+        load_report = node_module.measure_load(node)
+        return rebalancing.Load(
+            candidate=candidate,
+            offered=load_report.offered,
+            request_load=load_report.request_load,
+        )
+    view = node_module.read_view(node, candidate.node)
+    versioned_lease = node.leases.get(candidate.node)
+    is_newer = view.reported_at > min(node.now() - MAX_LOAD_AGE_S, reconciler.leases_read_at)
+    if is_newer or versioned_lease is None or not versioned_lease.row.request_load:
         return rebalancing.Load(
-            candidate=one,
-            offered=measured.offered,
-            request_load=measured.request_load,
+            candidate=candidate, offered=view.offered, request_load=view.request_load
         )
-    view = node_module.read_view(node, one.node)
-    told = node.leases.get(one.node)
-    is_newer = view.reported_at > min(node.now() - MAX_LOAD_AGE_S, steward.leases_read_at)
-    if is_newer or told is None or not told.row.request_load:
-        return rebalancing.Load(candidate=one, offered=view.offered, request_load=view.request_load)
     return rebalancing.Load(
-        candidate=one, offered=told.row.offered, request_load=told.row.request_load
+        candidate=candidate,
+        offered=versioned_lease.row.offered,
+        request_load=versioned_lease.row.request_load,
     )
 
 
-async def await_keys(steward: records.Reconciler) -> None:
-    """Wait a moment while keys are on their way to the target beside this node.
+async def await_keys(reconciler: records.Reconciler) -> None:
+    """Wait a moment while keys are moving to the target beside this node.
 
-    :param steward: the state.
+    :param reconciler: the state.
     """
-    node = steward.node
+    node = reconciler.node
     with trio.move_on_after(ANSWER_WAIT_S):
         while True:
             changed = node.changed
-            book = node.ledgers.get(node.place.service)
+            versioned_ledger = node.ledgers.get(node.place.service)
             target = node.target
-            if book is None or target is None or target.state is not member.TargetState.READY:
+            if (
+                versioned_ledger is None
+                or target is None
+                or target.state is not member.TargetState.READY
+            ):
                 return
-            if not any(span.successor == target.lifetime for span in book.ledger.spans):
+            if not any(span.successor == target.lifetime for span in versioned_ledger.ledger.spans):
                 return
             await changed.wait()
 
 
-def observe(steward: records.Reconciler) -> plan.Observation:
-    """Return what the node knows when it looks at the ledger now.
+def observe(reconciler: records.Reconciler) -> plan.Observation:
+    """Return what the node knows now, as the input to the next change of the ledger.
 
-    :param steward: the state.
+    :param reconciler: the state.
     """
-    node = steward.node
+    node = reconciler.node
     now = node.now()
     target = node.target
-    present = target.lifetime if target is not None else ledger.NO_HOLDER
-    over = frozenset(
+    own_lifetime = target.lifetime if target is not None else ledger.NO_HOLDER
+    expired_nodes = frozenset(
         name
         for name, other in node.leases.items()
         if name != node.place.node
         and node.store_clock is not None
         and lease.is_expired(other.row, node.store_clock, now)
     )
-    # Nodes read an odd row at different times, so that they disagree on when its lease is over; one
-    # that had taken it for alive would give keys back to a lost node.
-    unknown = {name for name, other in node.leases.items() if not other.row.incarnation}
-    alive = frozenset(node.leases) - over - unknown | {node.place.node}
-    book = node.ledgers.get(node.place.service)
+    # Nodes read an unreadable lease at different times and disagree on when it expires. A node that
+    # still took it for valid would give keys back to a lost node.
+    unreadable = {name for name, other in node.leases.items() if not other.row.incarnation}
+    alive = frozenset(node.leases) - expired_nodes - unreadable | {node.place.node}
+    versioned_ledger = node.ledgers.get(node.place.service)
     is_silent = target is not None and target.is_silent
     is_known = target is not None and not target.is_assumed
 
     def is_lost(holder: identity.Lifetime) -> bool:
-        if holder != present:
-            # A new lifetime at the target's address proves that the one before has ended.
+        if holder != own_lifetime:
+            # A new lifetime at the target's address proves that the previous one has ended.
             return is_known or is_silent
         return is_silent or (target is not None and target.is_dead)
 
-    # A target that has fallen silent keeps its row, but would be given back what is taken from it.
+    # A silent target still has its row, but must not get back the keys that were taken from it.
     candidates = tuple(
-        ledger.Candidate(node=one.node, lifetime=one.lifetime, weight=one.slots)
-        for one in node_module.list_open_members(node, node.place.service)
-        if one.node in alive and not (one.node == node.place.node and is_lost(one.lifetime))
+        ledger.Candidate(node=announced.node, lifetime=announced.lifetime, weight=announced.slots)
+        for announced in node_module.list_open_members(node, node.place.service)
+        if announced.node in alive
+        and not (announced.node == node.place.node and is_lost(announced.lifetime))
     )
-    leaders = sorted(one.node for one in candidates)
+    leaders = sorted(candidate.node for candidate in candidates)
     return plan.Observation(
         node=node.place.node,
-        own_lifetime=present,
+        own_lifetime=own_lifetime,
         candidates=candidates,
-        released=(grant.find_released(node.grantor, book.ledger, now) if book is not None else {}),
-        expired_nodes=over | _find_nodes_without_lease(steward),
+        released=(
+            grant.find_released(node.grantor, versioned_ledger.ledger, now)
+            if versioned_ledger is not None
+            else {}
+        ),
+        expired_nodes=expired_nodes | _find_nodes_without_lease(reconciler),
         is_leaving=target is not None and not node_module.is_open(node),
         is_leader=not leaders or leaders[0] == node.place.node,
         is_lost=is_lost,
     )
 
 
-def _find_nodes_without_lease(steward: records.Reconciler) -> frozenset[identity.NodeId]:
-    """Return the holders without a lease that may be taken from.
+def _find_nodes_without_lease(reconciler: records.Reconciler) -> frozenset[identity.NodeId]:
+    """Return the holders without a lease whose keys may be taken over.
 
-    One without a row has no right to grant, but the row may be newer than the leases that were
-    read. So members that have announced themselves are left alone, and the write that takes the
-    keys of another requires that there is still no row.
+    A node without a lease row must not grant keys, but its row may be newer than the leases that
+    were read. Announced members are therefore excluded, and the write that takes over the keys of
+    another node requires that there is still no row.
     """
-    node = steward.node
-    book = node.ledgers.get(node.place.service)
-    if book is None or steward.leases_read_at == float("-inf"):
+    node = reconciler.node
+    versioned_ledger = node.ledgers.get(node.place.service)
+    if versioned_ledger is None or reconciler.leases_read_at == float("-inf"):
         return frozenset()
     known = {node.place.node, *node.leases, *node.members}
-    return frozenset(ledger.list_nodes(book.ledger) - known)
+    return frozenset(ledger.list_nodes(versioned_ledger.ledger) - known)
 
 
-def _has_discovered(steward: records.Reconciler, situation: plan.Observation) -> bool:
-    now = steward.node.now()
-    if not situation.candidates:
+def _has_discovered(reconciler: records.Reconciler, observation: plan.Observation) -> bool:
+    """Return whether the wait for targets before the first ledger is over."""
+    now = reconciler.node.now()
+    if not observation.candidates:
         return False
-    if steward.discovery_started_at is None:
-        steward.discovery_started_at = now
-    return now - steward.discovery_started_at >= DISCOVERY_S + steward.node.place.heartbeat_s
+    if reconciler.discovery_started_at is None:
+        reconciler.discovery_started_at = now
+    return now - reconciler.discovery_started_at >= DISCOVERY_S + reconciler.node.place.heartbeat_s
--- a/src/ebonyvalve/process/keyspace/records.py
+++ b/src/ebonyvalve/process/keyspace/records.py
@@ -1,4 +1,4 @@
-"""Members and ledgers as rows of the table, and what the nodes tell each other of them."""
+"""Members and ledgers as rows of the store, and the messages that announce new ledgers."""
 
 import dataclasses
 import functools
@@ -18,19 +18,20 @@
 LEASES = table.TableName("lease")
 MEMBER_PREFIX = "member/"
 LEDGER_PREFIX = "book/"
-# A follow that returns nothing costs a call; silent connections are found by keep-alive probes.
+# A follow that times out without changes costs one call. Dead connections are found by keep-alive
+# probes, not by this time.
 FOLLOW_S = 10.0
-# Changes of many rows at once are taken together.
+# Changes to many rows at once are collected for this long and read in one call.
 DEBOUNCE_S = 0.8
-# A store that refuses is asked again soon, since its outages end without notice.
+# A store that refuses calls is asked again soon, because its outages end without notice.
 RETRY_S = 0.25
-# Above all versions of the store.
+# Higher than any version that the store can reach.
 UNREACHABLE_VERSION = decoding.MAX_COUNT + 1
 LEDGER_PATH = "/ebonyvalve/ledger/"
 
 
 def name_member_row(name: identity.NodeId) -> table.Name:
-    """Return the place of a node's announcement.
+    """Return the name of the row with a node's announcement.
 
     :param name: the node.
     """
@@ -38,7 +39,7 @@
 
 
 def name_ledger_row(service: identity.ServiceId) -> table.Name:
-    """Return the place of a service's ledger.
+    """Return the name of the row with a service's ledger.
 
     :param service: the service.
     """
@@ -46,7 +47,7 @@
 
 
 def name_lease_row(name: identity.NodeId) -> table.Name:
-    """Return the place of a node's lease.
+    """Return the name of the row with a node's lease.
 
     :param name: the node.
     """
@@ -55,7 +56,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Reconciler:
-    """What the node has in the table, and how far it has read."""
+    """The node's rows in the store, and how far it has read the other rows.
+
+    Times are in seconds on the node's clock.
+    """
 
     node: node_module.Node
     store: table.Store
@@ -66,217 +70,229 @@
     lease_version: int = table.MISSING
     leases_read_at: float = float("-inf")
     leases_asked_at: float = float("-inf")
-    # When this node takes the keys of lost ones, if there are any.
+    # When this node is to take over the keys of lost nodes; None if there are no lost nodes.
     takeover_at: float | None = None
     discovery_started_at: float | None = None
     rebalanced_at: float = float("-inf")
     rates_read_at: float = float("-inf")
-    # When targets last got keys from others, in seconds on the node's clock.
+    # When each target last received keys from another one.
     received_keys_at: dict[identity.Lifetime, float] = dataclasses.field(default_factory=dict)
-    # Whether a write waits for members that are as new as the ledger.
+    # Whether a write is waiting for members that are as new as the ledger.
     needs_members: bool = False
-    # The nodes that a ledger written here concerns and that have not been told of it.
+    # The nodes that are affected by a ledger written here and have not been notified of it.
     nodes_to_notify: set[identity.NodeId] = dataclasses.field(default_factory=set)
-    # How often the leases of members that have none were looked for.
+    # How often the leases have been read in search of that of a member without one.
     lease_lookups: dict[identity.Lifetime, int] = dataclasses.field(default_factory=dict)
-    # The node grants by no older ledger. Its own lease was ended before this version was read, so
-    # that others may have got its target's keys.
+    # The node grants nothing by an older ledger than this. Its own lease was ended by another node
+    # before this version was read, so that other targets may have received its target's keys.
     min_ledger_version: int = 0
-    # Whether the lease of a node may have been removed since the leases were read.
+    # Whether the lease of a node may have been removed since the leases were last read.
     has_stale_leases: bool = False
 
 
-async def follow_mesh(steward: Reconciler) -> None:
-    """Read members and ledgers, and keep up with their changes, until cancelled.
+async def follow_mesh(reconciler: Reconciler) -> None:
+    """Read members and ledgers and follow their changes, until cancelled.
 
-    :param steward: the state.
+    :param reconciler: the state.
     """
     while True:
         read: table.Rows | table.Failure | None
-        if not steward.node.is_mesh_known:
-            read = await steward.store.read(MESH)
+        if not reconciler.node.is_mesh_known:
+            read = await reconciler.store.read(MESH)
             is_whole = True
         else:
-            version = steward.mesh_version
+            version = reconciler.mesh_version
             read = await follow.run_interruptible(
-                functools.partial(steward.store.follow, MESH, version, FOLLOW_S),
-                steward.node.follow_restart.wait,
+                functools.partial(reconciler.store.follow, MESH, version, FOLLOW_S),
+                reconciler.node.follow_restart.wait,
             )
             is_whole = False
             if read is None:
                 continue
         if isinstance(read, table.Rows):
-            apply_rows(steward, read, is_whole=is_whole)
-            await _debounce(steward)
+            apply_rows(reconciler, read, is_whole=is_whole)
+            await _debounce(reconciler)
             continue
         if read is table.Failure.HISTORY_GONE:
-            await reload_mesh(steward)
+            await reload_mesh(reconciler)
             continue
-        await node_module.pause(steward.node, RETRY_S * (1 + steward.node.draw()))
+        await node_module.pause(reconciler.node, RETRY_S * (1 + reconciler.node.draw()))
 
 
-async def _debounce(steward: Reconciler) -> None:
-    """Wait until further changes have come, or until a write needs to know of them."""
+async def _debounce(reconciler: Reconciler) -> None:
+    """Wait for further changes to arrive, or until a write needs to know of them."""
     with trio.move_on_after(DEBOUNCE_S):
-        while not steward.needs_members:
-            await steward.node.changed.wait()
+        while not reconciler.needs_members:
+            await reconciler.node.changed.wait()
 
 
-def has_current_members(steward: Reconciler, book: node_module.VersionedLedger) -> bool:
-    """Return whether the known members are as new as a ledger; see to it if they are not.
+def has_current_members(
+    reconciler: Reconciler, versioned_ledger: node_module.VersionedLedger
+) -> bool:
+    """Return whether the known members are as new as a ledger, and request them if not.
 
-    A ledger comes sooner than the members where another node tells it or a write conflicts. What
-    is worked out from older members may undo what their own nodes have just written, and they
-    would undo that in turn.
+    A ledger arrives before the members if another node pushes it or a write conflicts. A change
+    planned from older members could undo what their nodes have just written, and those would undo
+    it in turn.
 
-    :param steward: the state.
-    :param book: the ledger that a write is to be based on.
+    :param reconciler: the state.
+    :param versioned_ledger: the ledger on which a write is to be based.
     """
-    if steward.mesh_version >= book.version:
+    if reconciler.mesh_version >= versioned_ledger.version:
         return True
-    if not steward.needs_members:
-        steward.needs_members = True
-        node_module.notify_changed(steward.node)
+    if not reconciler.needs_members:
+        reconciler.needs_members = True
+        node_module.notify_changed(reconciler.node)
     return False
 
 
-async def reload_mesh(steward: Reconciler) -> None:
-    read = await steward.store.read(MESH)
+async def reload_mesh(reconciler: Reconciler) -> None:
+    """Read all members and ledgers again, or wait a moment if the store does not answer.
+
+    :param reconciler: the state.
+    """
+    read = await reconciler.store.read(MESH)
     if isinstance(read, table.Rows):
-        apply_rows(steward, read, is_whole=True)
+        apply_rows(reconciler, read, is_whole=True)
     else:
-        await node_module.pause(steward.node, RETRY_S)
+        await node_module.pause(reconciler.node, RETRY_S)
 
 
-def apply_rows(steward: Reconciler, read: table.Rows, *, is_whole: bool) -> None:
-    """Take in members and ledgers.
+def apply_rows(reconciler: Reconciler, read: table.Rows, *, is_whole: bool) -> None:
+    """Apply rows of members and ledgers.
 
-    :param steward: the state.
+    :param reconciler: the state.
     :param read: the rows.
-    :param is_whole: whether they are all there are.
+    :param is_whole: whether these are all rows of the table, so that missing ones were removed.
     """
-    node = steward.node
+    node = reconciler.node
     if is_whole:
         names = {row.name.key for row in read.rows}
         for name in list(node.members):
             if MEMBER_PREFIX + name not in names:
-                drop_member(steward, name)
-        places = {format_row_name(row.name) for row in read.rows}
-        decoding.forget_missing(node.unreadable_rows, MESH, places)
+                drop_member(reconciler, name)
+        row_names = {format_row_name(row.name) for row in read.rows}
+        decoding.forget_missing(node.unreadable_rows, MESH, row_names)
     for row in read.rows:
-        apply_row(steward, row)
-    steward.mesh_version = max(steward.mesh_version, read.version)
-    steward.needs_members = False
+        apply_row(reconciler, row)
+    reconciler.mesh_version = max(reconciler.mesh_version, read.version)
+    reconciler.needs_members = False
     budget.divide_burst(node.budget, node.place.retries.slack, len(node.members))
-    apply_clock(steward, read.clock)
+    apply_clock(reconciler, read.clock)
     node.is_mesh_known = True
     node_module.notify_changed(node)
 
 
-def apply_clock(steward: Reconciler, read: lease.StoreClock | None) -> None:
-    """Take in a reading of the store's clock.
+def apply_clock(reconciler: Reconciler, read: lease.StoreClock | None) -> None:
+    """Update the node's reading of the store's clock.
 
-    :param steward: the state.
-    :param read: the reading that came with an answer, if there was one.
+    :param reconciler: the state.
+    :param read: the reading that came with an answer, if any.
     """
-    node = steward.node
+    node = reconciler.node
     if read is not None:
         node.store_clock = lease.choose_clock(node.store_clock, read, node.now())
 
 
-def apply_row(steward: Reconciler, row: table.Row) -> None:
-    """Take in a member or a ledger; one that can't be read leaves what the node knows as it is.
+def apply_row(reconciler: Reconciler, row: table.Row) -> None:
+    """Apply the row of a member or a ledger; an invalid row changes nothing that the node knows.
 
-    :param steward: the state.
-    :param row: its row.
+    :param reconciler: the state.
+    :param row: the row.
     """
     key = row.name.key
     fault = ""
     if key.startswith(MEMBER_PREFIX):
         name = identity.NodeId(key.removeprefix(MEMBER_PREFIX))
         if row.is_removed:
-            drop_member(steward, name)
+            drop_member(reconciler, name)
         else:
-            fault = _apply_member_row(steward, name, row)
+            fault = _apply_member_row(reconciler, name, row)
     elif key.startswith(LEDGER_PREFIX) and not row.is_removed:
-        fault = _apply_ledger(steward, identity.ServiceId(key.removeprefix(LEDGER_PREFIX)), row)
-    place = format_row_name(row.name)
-    if fault and key == MEMBER_PREFIX + steward.node.place.node:
-        # Nodes that start now know nothing of this one until it is written anew.
-        steward.announced_member = None
+        fault = _apply_ledger(reconciler, identity.ServiceId(key.removeprefix(LEDGER_PREFIX)), row)
+    row_name = format_row_name(row.name)
+    if fault and key == MEMBER_PREFIX + reconciler.node.place.node:
+        # Write it again: nodes that start now can't read this node's announcement.
+        reconciler.announced_member = None
     if fault:
-        decoding.record_unreadable(steward.node.unreadable_rows, log, place, row.version, fault)
+        decoding.record_unreadable(
+            reconciler.node.unreadable_rows, log, row_name, row.version, fault
+        )
     else:
-        decoding.record_readable(steward.node.unreadable_rows, place, row.version)
+        decoding.record_readable(reconciler.node.unreadable_rows, row_name, row.version)
 
 
 def format_row_name(name: table.Name) -> str:
-    """Return the name of a row for operators.
+    """Return the name of a row as it is shown to operators.
 
-    :param name: the row's place.
+    :param name: the name of the row.
     """
     return f"{name.table}/{name.key}"
 
 
-def _apply_member_row(steward: Reconciler, name: identity.NodeId, row: table.Row) -> str:
-    """Take in an announcement; return what is wrong with it, or an empty text."""
+def _apply_member_row(reconciler: Reconciler, name: identity.NodeId, row: table.Row) -> str:
+    """Apply an announcement; return why it is invalid, or an empty string."""
     decoded = member.decode(row.value)
     if not isinstance(decoded, result.Success):
         return decoded.failure()
-    known = decoded.unwrap()
-    if known.node != name:
-        return f"the announcement is of node {known.node!r}"
-    _apply_member(steward, known)
+    announced = decoded.unwrap()
+    if announced.node != name:
+        return f"the announcement is of node {announced.node!r}"
+    _apply_member(reconciler, announced)
     return ""
 
 
-def drop_member(steward: Reconciler, name: identity.NodeId) -> None:
+def drop_member(reconciler: Reconciler, name: identity.NodeId) -> None:
     """Forget a node whose row was removed.
 
-    :param steward: the state.
+    :param reconciler: the state.
     :param name: the node.
     """
-    node = steward.node
+    node = reconciler.node
     node.members.pop(name, None)
-    book = node.ledgers.get(node.place.service)
-    if book is None or name not in node.leases:
+    versioned_ledger = node.ledgers.get(node.place.service)
+    if versioned_ledger is None or name not in node.leases:
         return
-    # Its lease may have been removed with it; then its keys are free.
-    if name in ledger.list_nodes(book.ledger):
-        steward.has_stale_leases = True
-
-
-def _apply_member(steward: Reconciler, known: member.Member) -> None:
-    node = steward.node
-    before = node.members.get(known.node)
-    node.members[known.node] = known
-    if before is None or before.lifetime != known.lifetime or before.address != known.address:
-        node.target_views.pop(known.node, None)
-    # A node that starts again beside a living target need not wait for its next report.
-    if known.node == node.place.node and node.target is None:
+    # Its lease may have been removed as well, which frees its keys.
+    if name in ledger.list_nodes(versioned_ledger.ledger):
+        reconciler.has_stale_leases = True
+
+
+def _apply_member(reconciler: Reconciler, announced: member.Member) -> None:
+    node = reconciler.node
+    before = node.members.get(announced.node)
+    node.members[announced.node] = announced
+    if (
+        before is None
+        or before.lifetime != announced.lifetime
+        or before.address != announced.address
+    ):
+        node.target_views.pop(announced.node, None)
+    # A node that restarts beside a running target need not wait for the target's next report.
+    if announced.node == node.place.node and node.target is None:
         node.target = node_module.Target(
-            lifetime=known.lifetime,
+            lifetime=announced.lifetime,
             started_at_ms=0,
-            slots=known.slots,
-            state=known.state,
+            slots=announced.slots,
+            state=announced.state,
             reported_at=node.now(),
             is_assumed=True,
         )
-        node.admission.slots = known.slots
+        node.admission.slots = announced.slots
     decision.record(
         log,
         logging.INFO,
         "member",
-        member=known.node,
-        target=known.lifetime,
-        state=known.state,
-        zone=known.zone,
+        member=announced.node,
+        target=announced.lifetime,
+        state=announced.state,
+        zone=announced.zone,
     )
 
 
-def _apply_ledger(steward: Reconciler, service: identity.ServiceId, row: table.Row) -> str:
-    """Take in a ledger that is newer than the known one; return what is wrong with it, if it is."""
-    before = steward.node.ledgers.get(service)
+def _apply_ledger(reconciler: Reconciler, service: identity.ServiceId, row: table.Row) -> str:
+    """Apply a ledger if it is newer than the known one; return why it is invalid, if it is."""
+    before = reconciler.node.ledgers.get(service)
     if before is not None and before.version >= row.version:
         return ""
     read = ledger.decode(row.value)
@@ -284,8 +300,10 @@
         return read.failure()
     decoded = read.unwrap()
     if before is not None:
-        record_receivers(steward, before.ledger, decoded)
-    steward.node.ledgers[service] = node_module.VersionedLedger(ledger=decoded, version=row.version)
+        record_receivers(reconciler, before.ledger, decoded)
+    reconciler.node.ledgers[service] = node_module.VersionedLedger(
+        ledger=decoded, version=row.version
+    )
     decision.record(
         log,
         logging.INFO,
@@ -298,53 +316,64 @@
     return ""
 
 
-def record_receivers(steward: Reconciler, before: ledger.Ledger, after: ledger.Ledger) -> None:
+def record_receivers(reconciler: Reconciler, before: ledger.Ledger, after: ledger.Ledger) -> None:
+    """Record the time at which targets received keys from others.
+
+    :param reconciler: the state.
+    :param before: the earlier ledger; without spans if there was none.
+    :param after: the later one.
+    """
     if before.spans:
-        now = steward.node.now()
-        steward.received_keys_at.update(dict.fromkeys(ledger.find_receivers(before, after), now))
+        now = reconciler.node.now()
+        reconciler.received_keys_at.update(dict.fromkeys(ledger.find_receivers(before, after), now))
 
 
-async def push_ledger(steward: Reconciler) -> None:
-    """Tell the nodes that a new ledger concerns of it, until cancelled.
+async def push_ledger(reconciler: Reconciler) -> None:
+    """Push each new ledger to the nodes that it affects, until cancelled.
 
-    Heirs wait for its keys. The others learn of it from the store a little later, and from the
-    answers of nodes that no longer hold a key; telling all of them would cost a write of the
-    ledger as many messages as there are nodes, over the link of one.
+    Successors wait for the keys in it. The other nodes read it from the store a little later, or
+    learn of it from the answers of nodes that no longer hold a key. Pushing it to every node would
+    cost one message per node for each write, all over the link of the writer.
 
-    :param steward: the state.
+    :param reconciler: the state.
     """
-    node = steward.node
+    node = reconciler.node
     while True:
         changed = node.changed
-        book = node.ledgers.get(node.place.service)
-        if not steward.nodes_to_notify or book is None:
+        versioned_ledger = node.ledgers.get(node.place.service)
+        if not reconciler.nodes_to_notify or versioned_ledger is None:
             await changed.wait()
             continue
-        names, steward.nodes_to_notify = steward.nodes_to_notify - {node.place.node}, set()
-        path = f"{LEDGER_PATH}{node.place.service}/{book.version}"
-        await push.send(node, steward.connect, names, path, ledger.encode(book.ledger))
+        recipients, reconciler.nodes_to_notify = (
+            reconciler.nodes_to_notify - {node.place.node},
+            set(),
+        )
+        path = f"{LEDGER_PATH}{node.place.service}/{versioned_ledger.version}"
+        await push.send(
+            node, reconciler.connect, recipients, path, ledger.encode(versioned_ledger.ledger)
+        )
 
 
-def apply_push(steward: Reconciler, path: str, body: bytes) -> bool:
-    """Take a ledger that another node sends; return whether it could be read.
+def apply_push(reconciler: Reconciler, path: str, body: bytes) -> bool:
+    """Apply a ledger that another node has pushed; return whether it was valid.
 
-    :param steward: the state.
-    :param path: names the service and the version.
+    :param reconciler: the state.
+    :param path: the path of the message, which names the service and the version.
     :param body: the ledger.
     """
     name, _, version = path.removeprefix(LEDGER_PATH).rpartition("/")
     service = identity.ServiceId(name)
-    number = decoding.read_count(version)
-    if number:
-        row = table.Row(name=name_ledger_row(service), value=body, version=number)
-        fault = _apply_ledger(steward, service, row)
+    version_number = decoding.read_count(version)
+    if version_number:
+        row = table.Row(name=name_ledger_row(service), value=body, version=version_number)
+        fault = _apply_ledger(reconciler, service, row)
         if not fault:
-            place = format_row_name(row.name)
-            decoding.record_readable(steward.node.unreadable_rows, place, number)
+            row_name = format_row_name(row.name)
+            decoding.record_readable(reconciler.node.unreadable_rows, row_name, version_number)
     else:
-        fault = "the version is no number"
+        fault = "the version is not a positive number"
     if fault:
         decision.record(log, logging.ERROR, "push-unreadable", path=path[:200], cause=fault)
         return False
-    node_module.notify_changed(steward.node)
+    node_module.notify_changed(reconciler.node)
     return True
--- a/src/ebonyvalve/process/keyspace/registration.py
+++ b/src/ebonyvalve/process/keyspace/registration.py
@@ -1,7 +1,7 @@
-"""Announces this node in the table, and removes the rows of nodes whose address it has got.
+"""Writes this node's announcement, and removes the rows of previous nodes at its address.
 
-An address is given away only after its machine has ended for good. The node that has it now is the
-only one that knows this at first hand; for all others the lost node's lease must run out.
+An address is reused only after its previous machine has ended for good. Only the node that has
+the address now knows this at once; all others have to wait until the lost node's lease expires.
 """
 
 import logging
@@ -17,8 +17,8 @@
 def list_predecessors(node: node_module.Node) -> list[member.Member]:
     """Return the other nodes that are announced at this node's address and have ended.
 
-    A node that was only renamed has the target that its row names, so that nothing is known of it
-    until the target has reported.
+    A node that was only renamed still has the target that its old row names, so that this node
+    can't tell before its target has reported.
 
     :param node: the node.
     """
@@ -26,58 +26,64 @@
     if target is None or target.is_assumed:
         return []
     return [
-        one
-        for one in node.members.values()
-        if one.node != node.place.node
-        and one.address == node.place.peers_address
-        and one.lifetime != target.lifetime
+        predecessor
+        for predecessor in node.members.values()
+        if predecessor.node != node.place.node
+        and predecessor.address == node.place.peers_address
+        and predecessor.lifetime != target.lifetime
     ]
 
 
-async def announce(steward: records.Reconciler) -> None:
-    """Write the node's own announcement whenever it changes, until cancelled.
+async def announce(reconciler: records.Reconciler) -> None:
+    """Write the node's announcement whenever it changes, until cancelled.
 
-    :param steward: the state.
+    :param reconciler: the state.
     """
-    node = steward.node
+    node = reconciler.node
     while True:
         changed = node.changed
-        own = node_module.build_member(node)
-        ended = list_predecessors(node)
-        if own is None or (own == steward.announced_member and not ended):
+        announcement = node_module.build_member(node)
+        predecessors = list_predecessors(node)
+        if announcement is None or (
+            announcement == reconciler.announced_member and not predecessors
+        ):
             await changed.wait()
             continue
-        if await _write(steward, own, ended):
-            steward.announced_member = own
+        if await _write(reconciler, announcement, predecessors):
+            reconciler.announced_member = announcement
         else:
             await node_module.pause(node, records.RETRY_S)
 
 
 async def _write(
-    steward: records.Reconciler, own: member.Member, ended: list[member.Member]
+    reconciler: records.Reconciler, announcement: member.Member, predecessors: list[member.Member]
 ) -> bool:
-    """Write the announcement and end those before it at once, so that others learn of both."""
-    is_gone = own.state is member.TargetState.GONE
-    writes = {records.name_member_row(own.node): None if is_gone else member.encode(own)}
-    if ended:
-        read = await steward.store.read(records.LEASES)
+    """Write the announcement and remove the predecessors' rows in one transaction."""
+    is_gone = announcement.state is member.TargetState.GONE
+    writes = {
+        records.name_member_row(announcement.node): None if is_gone else member.encode(announcement)
+    }
+    if predecessors:
+        read = await reconciler.store.read(records.LEASES)
         if not isinstance(read, table.Rows):
             return False
-        leases = {records.name_lease_row(one.node) for one in ended}
+        leases = {records.name_lease_row(predecessor.node) for predecessor in predecessors}
         writes.update(dict.fromkeys(leases & {row.name for row in read.rows}))
-        writes.update(dict.fromkeys(records.name_member_row(one.node) for one in ended))
-    done = await steward.store.commit({}, writes)
+        writes.update(
+            dict.fromkeys(records.name_member_row(predecessor.node) for predecessor in predecessors)
+        )
+    done = await reconciler.store.commit({}, writes)
     if not isinstance(done, table.Committed):
         return False
-    for one in ended:
-        records.drop_member(steward, one.node)
+    for predecessor in predecessors:
+        records.drop_member(reconciler, predecessor.node)
         decision.record(
             log,
             logging.WARNING,
             "node-succeeded",
-            member=one.node,
-            address=one.address,
-            target=one.lifetime,
+            member=predecessor.node,
+            address=predecessor.address,
+            target=predecessor.lifetime,
             reason="this node has its address",
         )
     return True
