--- a/src/ebonyvalve/process/load/__init__.py
+++ b/src/ebonyvalve/process/load/__init__.py
@@ -1,1 +1,1 @@
-"""What targets bear: admission, choice of a target and warmth."""
+"""Load of the targets: admission control, target selection, rates of keys and slow start."""
--- a/src/ebonyvalve/process/load/crashes.py
+++ b/src/ebonyvalve/process/load/crashes.py
@@ -1,7 +1,7 @@
-"""Requests that were running when targets crashed; one that did again and again runs no more.
+"""Quarantine of requests that crash targets.
 
-A crash shows up to as many suspects as the target has slots, and most are innocent. What ran in
-several crashes, at different times, is not.
+When a target crashes, any request that it was running may be the cause, up to as many as it has
+slots. A request that was running in several crashes at different times is quarantined.
 """
 
 import collections.abc
@@ -9,11 +9,12 @@
 
 from ebonyvalve.process import identity
 
-# Two may be chance: a popular request runs somewhere at any moment.
+# Two crashes may be a coincidence: a popular request is running somewhere at any moment.
 QUARANTINE_CRASHES = 3
-# A caller that sends such a request again does so within seconds, and targets take some to return.
+# Crashes are remembered this long. Callers retry such a request within seconds, and targets take
+# some seconds to restart.
 MEMORY_S = 60.0
-# A fault that ends several targets at once is one crash for what ran on them.
+# Crashes within this time count as one, because a single fault can end several targets at once.
 SAME_CRASH_S = 0.1
 # 24 nodes that each lose a target with 10 requests every 2 s make 7200 entries a minute.
 CAPACITY = 8192
@@ -21,37 +22,41 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Quarantine:
-    """The times of the crashes in which each request was running, oldest entries first."""
+    """The times of the crashes in which each request was running, oldest request first."""
 
     crashes: dict[identity.Fingerprint, list[float]] = dataclasses.field(default_factory=dict)
 
 
 def record_crash(
-    suspicion: Quarantine,
+    quarantine: Quarantine,
     fingerprints: collections.abc.Iterable[identity.Fingerprint],
     now: float,
 ) -> None:
-    """Note what a target was running when it crashed.
+    """Record the requests that a target was running when it crashed.
 
-    :param suspicion: the state.
-    :param fingerprints: of the requests.
+    :param quarantine: the state.
+    :param fingerprints: the fingerprints of the requests.
     :param now: seconds on the node's clock.
     """
-    for name in set(fingerprints):
-        times = [at for at in suspicion.crashes.pop(name, []) if at > now - MEMORY_S]
+    for fingerprint in set(fingerprints):
+        times = [
+            crashed_at
+            for crashed_at in quarantine.crashes.pop(fingerprint, [])
+            if crashed_at > now - MEMORY_S
+        ]
         if not times or now - times[-1] > SAME_CRASH_S:
             times.append(now)
-        suspicion.crashes[name] = times
-    while len(suspicion.crashes) > CAPACITY:
-        del suspicion.crashes[next(iter(suspicion.crashes))]
+        quarantine.crashes[fingerprint] = times
+    while len(quarantine.crashes) > CAPACITY:
+        del quarantine.crashes[next(iter(quarantine.crashes))]
 
 
-def is_quarantined(suspicion: Quarantine, fingerprint: identity.Fingerprint, now: float) -> bool:
-    """Return whether a request must not reach a target.
+def is_quarantined(quarantine: Quarantine, fingerprint: identity.Fingerprint, now: float) -> bool:
+    """Return whether a request must not be sent to a target.
 
-    :param suspicion: the state.
-    :param fingerprint: of the request.
+    :param quarantine: the state.
+    :param fingerprint: the fingerprint of the request.
     :param now: seconds on the node's clock.
     """
-    times = suspicion.crashes.get(fingerprint, [])
-    return sum(at > now - MEMORY_S for at in times) >= QUARANTINE_CRASHES
+    times = quarantine.crashes.get(fingerprint, [])
+    return sum(crashed_at > now - MEMORY_S for crashed_at in times) >= QUARANTINE_CRASHES
--- a/src/ebonyvalve/process/load/lag.py
+++ b/src/ebonyvalve/process/load/lag.py
@@ -1,59 +1,59 @@
-"""How far this process is behind with what is due, when its processor time runs short.
+"""The lag of the event loop, and whether it leaves enough time for new requests.
 
-All requests in hand share the processor. Without a bound, a node that is short of it works on all
-of them and finishes hardly any before their deadlines.
+All requests in progress share the processor. Without a limit, a node that is short of processor
+time would work on all of them and finish hardly any before their deadlines.
 """
 
 import dataclasses
 
-# A request passes through the loop about this many times as often as a wake-up does.
+# A request passes through the event loop about this many times, a wake-up once.
 PASSES_PER_REQUEST = 8.0
-# A request that would need more than this part of its time for the node alone has none to spare
-# for its target.
+# If a request needs more than this share of its time in the node alone, too little is left for its
+# target.
 MAX_SHARE = 0.5
 SMOOTHING = 0.3
-# Wake-ups of a process that has time come a few milliseconds late.
+# In a process with enough processor time, wake-ups are only a few milliseconds late.
 LAGGING_S = 0.02
-# A process that was frozen is behind by seconds once, and at work again at once.
+# A process that was suspended is late by seconds once and then works normally again.
 MAX_LATE_S = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class LoopLag:
-    """By how many seconds wake-ups come late, smoothed over the last few."""
+    """How many seconds wake-ups are late, smoothed over the last few."""
 
     late_s: float = 0.0
 
 
-def record_wake_up(pace: LoopLag, late_s: float) -> None:
-    """Note a periodic wake-up.
+def record_wake_up(loop_lag: LoopLag, late_s: float) -> None:
+    """Record a periodic wake-up.
 
-    :param pace: the state.
-    :param late_s: seconds between when it was due and when it came.
+    :param loop_lag: the state.
+    :param late_s: seconds from when it was due to when it happened.
     """
-    pace.late_s += SMOOTHING * (min(MAX_LATE_S, max(0.0, late_s)) - pace.late_s)
+    loop_lag.late_s += SMOOTHING * (min(MAX_LATE_S, max(0.0, late_s)) - loop_lag.late_s)
 
 
-def is_lagging(pace: LoopLag) -> bool:
-    """Return whether requests may have waited for long before they were read.
+def is_lagging(loop_lag: LoopLag) -> bool:
+    """Return whether the loop lags, so that requests may have waited long before they were read.
 
-    :param pace: the state.
+    :param loop_lag: the state.
     """
-    return pace.late_s > LAGGING_S
+    return loop_lag.late_s > LAGGING_S
 
 
-def expect_delay(pace: LoopLag) -> float:
-    """Return the seconds that a request waits for this process until its answer is sent.
+def expect_delay(loop_lag: LoopLag) -> float:
+    """Return how many seconds a request is expected to wait for this process until it is answered.
 
-    :param pace: the state.
+    :param loop_lag: the state.
     """
-    return PASSES_PER_REQUEST * pace.late_s
+    return PASSES_PER_REQUEST * loop_lag.late_s
 
 
-def can_serve(pace: LoopLag, left_s: float) -> bool:
-    """Return whether a request that comes now can be answered in time as far as this process goes.
+def can_serve(loop_lag: LoopLag, remaining_s: float) -> bool:
+    """Return whether this process is fast enough to answer a request in time.
 
-    :param pace: the state.
-    :param left_s: seconds until the request's deadline.
+    :param loop_lag: the state.
+    :param remaining_s: seconds until the request's deadline.
     """
-    return expect_delay(pace) <= MAX_SHARE * left_s
+    return expect_delay(loop_lag) <= MAX_SHARE * remaining_s
--- a/src/ebonyvalve/process/load/policy.py
+++ b/src/ebonyvalve/process/load/policy.py
@@ -1,4 +1,4 @@
-"""What the targets of a service bear, as the accepted configuration says."""
+"""The policy of a service, from the configuration in force."""
 
 import dataclasses
 
@@ -7,10 +7,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServicePolicy:
-    """What the targets of a service bear.
+    """The limits of a service's targets.
 
-    A target bears ``cold_rate`` requests a second for ``cold_s`` seconds after its start. Keys
-    that arrive without a handover are slow for ``warm_up_s`` seconds.
+    For ``cold_s`` seconds after its start, a target can handle ``cold_rate`` requests per second.
+    Keys that arrive without a handover are slow for ``warm_up_s`` seconds.
     """
 
     name: identity.ServiceId
--- a/src/ebonyvalve/process/load/rates.py
+++ b/src/ebonyvalve/process/load/rates.py
@@ -1,97 +1,98 @@
-"""How often each key is asked for: decayed counts of the keys of one target."""
+"""Request rates of the keys of one target, as counts that decay exponentially."""
 
 import bisect
 import collections.abc
 import dataclasses
 import math
 
-# Hot keys change within seconds; a shorter memory would follow single requests.
+# The time constant of the decay. Hot keys change within seconds; a shorter time would follow single
+# requests.
 MEMORY_S = 2.0
-# A key with less than this rate says nothing and is forgotten.
+# Keys with a lower rate, in requests per second, are insignificant and dropped.
 MIN_RATE = 0.02
 COMPACT_S = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class KeyRates:
-    """Decayed counts by key, all as of ``at`` in seconds on the node's clock."""
+    """Decayed counts by key slot, as of ``updated_at`` in seconds on the node's clock."""
 
     updated_at: float
     counts: dict[int, float] = dataclasses.field(default_factory=dict)
-    # Counts are kept multiplied by this, so that decay costs one multiplication for all.
+    # Counts are stored multiplied by this, so that decay takes one multiplication for all of them.
     scale: float = 1.0
     total: float = 0.0
     compacted_at: float = float("-inf")
 
 
-def record(heat: KeyRates, slot: int, now: float, weight: float = 1.0) -> None:
+def record(key_rates: KeyRates, key_slot: int, now: float, weight: float = 1.0) -> None:
     """Count one request.
 
-    :param heat: the state.
-    :param slot: its key.
+    :param key_rates: the state.
+    :param key_slot: the slot of its key.
     :param now: seconds on the node's clock.
-    :param weight: how much it counts.
+    :param weight: how many requests it counts as.
     """
-    _decay(heat, now)
-    heat.counts[slot] = heat.counts.get(slot, 0.0) + weight * heat.scale
-    heat.total += weight * heat.scale
+    _decay(key_rates, now)
+    key_rates.counts[key_slot] = key_rates.counts.get(key_slot, 0.0) + weight * key_rates.scale
+    key_rates.total += weight * key_rates.scale
 
 
-def read_rates(heat: KeyRates, now: float) -> dict[int, float]:
-    """Return requests a second by key.
+def read_rates(key_rates: KeyRates, now: float) -> dict[int, float]:
+    """Return the requests per second by key slot.
 
-    :param heat: the state.
+    :param key_rates: the state.
     :param now: seconds on the node's clock.
     """
-    _decay(heat, now)
-    _compact(heat)
-    factor = 1.0 / (heat.scale * MEMORY_S)
-    return {slot: count * factor for slot, count in heat.counts.items()}
+    _decay(key_rates, now)
+    _compact(key_rates)
+    factor = 1.0 / (key_rates.scale * MEMORY_S)
+    return {key_slot: count * factor for key_slot, count in key_rates.counts.items()}
 
 
-def read_total(heat: KeyRates, now: float) -> float:
-    """Return requests a second for all keys of the target.
+def read_total(key_rates: KeyRates, now: float) -> float:
+    """Return the requests per second for all keys of the target.
 
-    :param heat: the state.
+    :param key_rates: the state.
     :param now: seconds on the node's clock.
     """
-    _decay(heat, now)
-    return heat.total / (heat.scale * MEMORY_S)
+    _decay(key_rates, now)
+    return key_rates.total / (key_rates.scale * MEMORY_S)
 
 
-def retain(heat: KeyRates, held: collections.abc.Sequence[tuple[int, int]]) -> None:
-    """Drop the keys that the target no longer holds.
+def retain(key_rates: KeyRates, held_ranges: collections.abc.Sequence[tuple[int, int]]) -> None:
+    """Drop all keys except those that the target still holds.
 
-    :param heat: the state.
-    :param held: first and last key of what it holds, in ascending order.
+    :param key_rates: the state.
+    :param held_ranges: the first and last key slot of each held range, in ascending order.
     """
-    firsts = [first for first, _ in held]
-    kept = {}
-    for slot, count in heat.counts.items():
-        index = bisect.bisect_right(firsts, slot) - 1
-        if index >= 0 and slot <= held[index][1]:
-            kept[slot] = count
-    heat.counts = kept
-    heat.total = sum(kept.values())
-
-
-def _decay(heat: KeyRates, now: float) -> None:
-    elapsed_s = now - heat.updated_at
+    firsts = [first for first, _ in held_ranges]
+    retained = {}
+    for key_slot, count in key_rates.counts.items():
+        index = bisect.bisect_right(firsts, key_slot) - 1
+        if index >= 0 and key_slot <= held_ranges[index][1]:
+            retained[key_slot] = count
+    key_rates.counts = retained
+    key_rates.total = sum(retained.values())
+
+
+def _decay(key_rates: KeyRates, now: float) -> None:
+    elapsed_s = now - key_rates.updated_at
     if elapsed_s <= 0:
         return
-    heat.updated_at = now
-    heat.scale *= math.exp(min(elapsed_s, 100 * MEMORY_S) / MEMORY_S)
-    if heat.scale > 1e9 or now - heat.compacted_at > COMPACT_S:
-        heat.compacted_at = now
-        _compact(heat)
-
-
-def _compact(heat: KeyRates) -> None:
-    least = MIN_RATE * MEMORY_S
-    heat.counts = {
-        slot: count / heat.scale
-        for slot, count in heat.counts.items()
-        if count / heat.scale >= least
+    key_rates.updated_at = now
+    key_rates.scale *= math.exp(min(elapsed_s, 100 * MEMORY_S) / MEMORY_S)
+    if key_rates.scale > 1e9 or now - key_rates.compacted_at > COMPACT_S:
+        key_rates.compacted_at = now
+        _compact(key_rates)
+
+
+def _compact(key_rates: KeyRates) -> None:
+    min_count = MIN_RATE * MEMORY_S
+    key_rates.counts = {
+        key_slot: count / key_rates.scale
+        for key_slot, count in key_rates.counts.items()
+        if count / key_rates.scale >= min_count
     }
-    heat.total /= heat.scale
-    heat.scale = 1.0
+    key_rates.total /= key_rates.scale
+    key_rates.scale = 1.0
--- a/src/ebonyvalve/process/load/selection.py
+++ b/src/ebonyvalve/process/load/selection.py
@@ -1,4 +1,4 @@
-"""Choice among the targets of a service without keys, by the expected time to an answer."""
+"""Selects a target of a service without keys, by the expected time to an answer."""
 
 import collections.abc
 import dataclasses
@@ -6,26 +6,30 @@
 from ebonyvalve.process import identity
 
 INITIAL_WORK_S = 0.1
-# Nodes that see the same loads would all take the same target; a tenth of spread parts them.
+# Nodes that see the same loads would all choose the same target. Estimates are varied by up to a
+# tenth in both directions to spread their choices.
 JITTER = 0.2
-# A target that lost a request is passed by for this long, doubled each time up to the most.
+# A target that lost a request is avoided for this long, doubled with each loss up to the maximum.
 MIN_AVOID_S = 0.3
 MAX_AVOID_S = 1.2
-# A queue that is full holds several times as much work as this, so that nothing idles while
-# further requests are refused without asking.
+# While a queue is full, requests are refused for up to this long without asking the target's node.
+# A full queue holds several times as much work, so the target does not idle meanwhile.
 FULL_PAUSE_S = 0.1
-# Old loads say little: work that was reported is over after about this many work times.
+# Reported work has ended after about this many work times, so an older report counts for nothing.
 STALE_WORK_TIMES = 4.0
-# What another zone must save in waiting, as bytes between zones cost and take longer.
+# A target in another zone has to answer sooner by at least this, because traffic between zones
+# costs money and takes longer.
 CROSS_ZONE_COST_S = 0.02
 
 
 @dataclasses.dataclass(kw_only=True)
 class TargetView:
-    """What this node knows of another node's target, from its answers. Times are seconds.
+    """What this node knows of another node's target from that node's answers.
 
-    ``offered`` is the work that arrives for it a second over the work it can do, ``request_load``
-    what one request a second adds to that. ``work_s`` is as of the last few answers.
+    Times are in seconds. ``offered`` is the work that arrives for the target per second divided by
+    the work it can do per second, ``request_load`` what one request per second adds to it.
+    ``work_s`` is the mean work time of the last few answers. ``busy`` counts the requests that ran
+    or waited there at ``reported_at``, ``outstanding`` those that this node has sent there.
     """
 
     slots: int
@@ -42,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """A target's load as its node tells it: requests that run or wait, slots, and work."""
+    """A target's load as its node reports it; ``busy`` counts requests that run or wait."""
 
     busy: int
     slots: int
@@ -52,7 +56,7 @@
 
 
 def record_load(view: TargetView, report: LoadReport, now: float) -> None:
-    """Note the load that came with an answer.
+    """Record the load that an answer carried.
 
     :param view: the state.
     :param report: the load.
@@ -67,20 +71,20 @@
 
 
 def record_failure(view: TargetView, now: float) -> None:
-    """Note that the target or its node could not be reached, or lost a request.
+    """Record that the target or its node could not be reached, or that it lost a request.
 
     :param view: the state.
     :param now: seconds on the node's clock.
     """
     if now < view.avoid_until and view.failures:
-        # One loss ends many requests at once, which must not count as many losses.
+        # One failure ends many requests at once, but counts as a single one.
         return
     view.avoid_until = now + min(MAX_AVOID_S, MIN_AVOID_S * 2**view.failures)
     view.failures += 1
 
 
 def record_unreachable(view: TargetView, now: float) -> None:
-    """Note that the target's node does not answer; it is passed by until the next ping or two.
+    """Record that the target's node does not answer, and avoid it until the next ping or two.
 
     :param view: the state.
     :param now: seconds on the node's clock.
@@ -90,7 +94,7 @@
 
 
 def record_reachable(view: TargetView) -> None:
-    """Note that the target's node answers again.
+    """Record that the target's node answers again.
 
     :param view: the state.
     """
@@ -99,10 +103,10 @@
 
 
 def record_refusal(view: TargetView, retry_after_s: float, now: float) -> None:
-    """Note that the target has no room for a while.
+    """Record that the target has refused a request because it has no capacity left.
 
     :param view: the state.
-    :param retry_after_s: when there may be room.
+    :param retry_after_s: seconds until there may be capacity again.
     :param now: seconds on the node's clock.
     """
     view.avoid_until = max(view.avoid_until, now + min(retry_after_s, MIN_AVOID_S))
@@ -114,13 +118,13 @@
 
     :param view: the state.
     :param now: seconds on the node's clock.
-    :param is_near: whether the target is in the own zone.
+    :param is_near: whether the target is in this node's zone.
     """
     age = (now - view.reported_at) / (STALE_WORK_TIMES * view.work_s)
     busy = max(view.busy * max(0.0, 1.0 - age), view.outstanding)
-    over = max(0.0, busy + 1 - view.slots)
-    wait_s = over * view.work_s / view.slots
-    # Targets slow down a little as they fill, so that among free ones the emptier is better.
+    waiting = max(0.0, busy + 1 - view.slots)
+    wait_s = waiting * view.work_s / view.slots
+    # Targets slow down a little as they fill up, so an emptier one is better.
     fullness = min(1.0, busy / view.slots)
     return wait_s + view.work_s * (1.0 + 0.3 * fullness) + (0.0 if is_near else CROSS_ZONE_COST_S)
 
@@ -133,18 +137,18 @@
 ) -> identity.NodeId | None:
     """Return the target to send a request to, or ``None`` if there is none.
 
-    Targets that are being avoided are taken only when all are.
+    A target that is being avoided is chosen only if all are.
 
-    :param views: the targets that may take it.
-    :param near: those in the own zone.
+    :param views: the targets that may take the request.
+    :param near: the targets in this node's zone.
     :param now: seconds on the node's clock.
     :param draw: returns random numbers from 0 to 1.
     """
-    open_ = [name for name in views if views[name].avoid_until <= now] or list(views)
-    if not open_:
+    available = [name for name in views if views[name].avoid_until <= now] or list(views)
+    if not available:
         return None
     return min(
-        open_,
+        available,
         key=lambda name: estimate_answer(views[name], now, is_near=name in near)
         * (1.0 + JITTER * (draw() - 0.5)),
     )
