--- a/tests/places.py
+++ b/tests/places.py
@@ -1,4 +1,4 @@
-"""Settings of nodes for tests that need no file."""
+"""Builds settings of nodes for tests without a settings file."""
 
 from ebonyvalve.process import identity, place
 
@@ -6,24 +6,24 @@
 def build_place(
     node: str, service: str, address: str, *, heartbeat_s: float, store: str
 ) -> place.Place:
-    """Return the settings of a node whose addresses are all the same.
+    """Return the settings of a node that uses one address for everything.
 
-    :param node: its name.
+    :param node: the name of the node.
     :param service: the service of its target.
-    :param address: where it and its target listen.
+    :param address: the address of the node and its target.
     :param heartbeat_s: seconds between two reports of the target.
-    :param store: where the store is.
+    :param store: the address of the store.
     """
-    here = identity.Address(address)
+    node_address = identity.Address(address)
     return place.Place(
         node=identity.NodeId(node),
         zone=identity.ZoneId("z1"),
         service=identity.ServiceId(service),
-        target_address=here,
-        callers_address=here,
-        peers_address=here,
-        ready_address=here,
-        reports_address=here,
+        target_address=node_address,
+        callers_address=node_address,
+        peers_address=node_address,
+        ready_address=node_address,
+        reports_address=node_address,
         store_address=identity.Address(store),
         heartbeat_s=heartbeat_s,
         max_hold_s=10.0,
--- a/tests/process/keyspace/test_grant.py
+++ b/tests/process/keyspace/test_grant.py
@@ -1,4 +1,4 @@
-"""Explores every order of reports, answers and losses for two owners of one key."""
+"""Explores every order of reports, answers and losses, in search of two owners of one key."""
 
 import collections
 import dataclasses
@@ -13,7 +13,7 @@
 DEPTH = 9
 
 
-def build_book(*, is_moving: bool) -> ledger.Ledger:
+def build_ledger(*, is_moving: bool) -> ledger.Ledger:
     span = ledger.Span(
         first=0,
         last=identity.LAST_SLOT,
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class World:
-    """A target with a hold, its node's view, and a message under way in each direction."""
+    """A target and its hold, the state of its node, and one message in transit each way."""
 
     now: float
     is_moving: bool
@@ -63,7 +63,11 @@
 
 
 def list_next(world: World) -> list[World]:
-    """Return what may happen next: time, a move, a report, its arrival, its answer, a restart."""
+    """Return the worlds that may follow.
+
+    Time passes, a move is planned, a report is sent, lost or answered, the answer arrives or is
+    lost, or the node restarts.
+    """
     change = dataclasses.replace
     state = unpack(world.node)
     worlds = [change(world, now=world.now + STEP_S)]
@@ -71,7 +75,7 @@
         worlds.append(change(world, is_moving=True))
     holds = world.now < world.target_until
     if world.report is None and world.answer is None:
-        # One report at a time; it is given up after a second without an answer.
+        # The target sends one report at a time, and abandons it after a second without an answer.
         sequence = world.target_sequence + 1
         worlds.append(change(world, report=(sequence, holds, world.now), target_sequence=sequence))
     if world.report is not None:
@@ -83,7 +87,7 @@
             grant.Report(lifetime=X, sequence=sequence, holds=holds_rows, released=()),
         )
         given = grant.answer(
-            state, build_book(is_moving=world.is_moving), now=world.now, hold_s=HOLD_S
+            state, build_ledger(is_moving=world.is_moving), now=world.now, hold_s=HOLD_S
         )
         is_granted = bool(given.spans)
         worlds.append(
@@ -93,7 +97,7 @@
         is_granted, sent_at, hold_s = world.answer
         worlds.append(change(world, answer=None))
         if world.now - sent_at <= STEP_S:
-            # The target counts its hold from when it sent the report, on a clock 2% slow.
+            # The hold starts when the report was sent, on a clock that is 2% slow.
             until = sent_at + hold_s * 1.02 if is_granted else 0.0
             worlds.append(change(world, answer=None, target_until=until))
     fresh = grant.start(now=world.now, max_hold_s=HOLD_S)
@@ -103,7 +107,7 @@
 
 
 def test_no_order_of_events_frees_keys_that_are_held() -> None:
-    """Lost and late messages, restarts of the node and slow clocks must not make two owners."""
+    """Lost or late messages, node restarts or slow clocks could give a key two owners."""
     state = grant.start(now=0.0, max_hold_s=HOLD_S)
     state.lifetime = X
     first = World(
@@ -122,7 +126,7 @@
     while queue:
         world, depth = queue.popleft()
         if world.is_moving:
-            free = grant.find_released(unpack(world.node), build_book(is_moving=True), world.now)
+            free = grant.find_released(unpack(world.node), build_ledger(is_moving=True), world.now)
             if free:
                 freed += 1
                 late = (
@@ -143,24 +147,24 @@
 
 
 def test_handover_of_a_wider_release_is_used() -> None:
-    """A target may report a release as one range though the ledger has cut it."""
+    """A target may report a release as one range although the ledger has split it."""
     state = grant.Grantor(lifetime=X, sequence=5)
     state.released.append((0, 999, "token"))
     state.withheld[(0, identity.LAST_SLOT)] = 4
-    book = build_book(is_moving=True)
-    assert grant.find_released(state, book, 0.0) == {0: ""}
+    moving_ledger = build_ledger(is_moving=True)
+    assert grant.find_released(state, moving_ledger, 0.0) == {0: ""}
     state.released.append((0, identity.LAST_SLOT, "whole"))
-    assert grant.find_released(state, book, 0.0) == {0: "whole"}
+    assert grant.find_released(state, moving_ledger, 0.0) == {0: "whole"}
 
 
 def test_nothing_is_granted_without_a_lease() -> None:
-    """An answer without holds renews nothing."""
+    """A node without a valid lease must not renew the holds of its target."""
     state = grant.Grantor(lifetime=X)
-    given = grant.answer(state, build_book(is_moving=False), now=0.0, hold_s=0.0)
+    given = grant.answer(state, build_ledger(is_moving=False), now=0.0, hold_s=0.0)
     assert given.spans is None
     assert not grant.is_granted(state, 5, 0.0)
 
 
 def test_end_of_a_hold_counts_the_slow_clock() -> None:
-    """A target whose clock runs 2% slow holds its keys 2% longer."""
+    """A target whose clock runs 2% slow holds its keys 2% longer than its node granted them."""
     assert lease.find_hold_end(0.0, 10.0) >= 10.2
--- a/tests/process/keyspace/test_lease.py
+++ b/tests/process/keyspace/test_lease.py
@@ -1,4 +1,4 @@
-"""A node stops granting before another may take its keys, on whatever clocks."""
+"""A node stops granting keys before another may take them over, whatever their clocks show."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -23,7 +23,10 @@
     drift: float,
     target_slowness: float,
 ) -> None:
-    """The store's clock decides when keys are taken; the target's clock may run 2% slow."""
+    """A hold that outlasts the lease would give keys two owners.
+
+    Other nodes take keys over by the store's clock, while the target's clock may run 2% slow.
+    """
     # The node reads the store's clock at renewed_at, with an answer that takes answer_s.
     clock = lease.StoreClock(
         asked_at=renewed_at, answered_at=renewed_at + answer_s, read_s=1000 + answer_s / 2
@@ -32,7 +35,7 @@
     row = lease.LeaseRow(until_s=until_s, incarnation="a")
     granted_at = renewed_at + answer_s + waited_s
     hold_s = lease.find_hold(row, clock, granted_at, 10.0)
-    # True time on the store's clock when the target's hold ends.
+    # The time on the store's clock when the target's hold ends.
     node_elapsed = (granted_at - renewed_at) / (1 + drift)
     ends = 1000 + node_elapsed + hold_s * (1 + target_slowness) if hold_s else 0.0
     taker = lease.StoreClock(asked_at=0.0, answered_at=taker_delay_s, read_s=ends - taker_delay_s)
@@ -41,14 +44,14 @@
 
 
 def test_node_survives_an_outage_of_the_store() -> None:
-    """A store that is away for 9 s must not cost the keys of a living node."""
+    """A running node must not lose its keys because the store is unavailable for 9 s."""
     clock = lease.StoreClock(asked_at=0.0, answered_at=0.01, read_s=50.0)
     row = lease.LeaseRow(until_s=50.0 + lease.LEASE_S, incarnation="a")
     assert lease.find_hold(row, clock, 9.0, 10.0) > 2.0
 
 
 def test_no_lease_grants_nothing() -> None:
-    """A node that has not read the store grants nothing."""
+    """A node that has not read the store yet must not grant keys."""
     clock = lease.StoreClock(asked_at=0.0, answered_at=0.01, read_s=50.0)
     assert lease.find_hold(None, clock, 1.0, 10.0) == 0.0
     row = lease.LeaseRow(until_s=62.0, incarnation="a")
@@ -62,9 +65,10 @@
     )
 )
 def test_renewals_never_end_earlier(readings: list[tuple[float, float, float]]) -> None:
-    """Slow answers make the readings of the store's clock differ; a renewal may be done unheard.
+    """A renewal with an earlier end would let others take over keys that are still granted.
 
-    If it ended before the lease that the node knows, another would take keys that are granted.
+    Slow answers make the readings of the store's clock differ, and a renewal may be applied
+    although its answer is lost.
     """
     now, clock, row = 0.0, None, None
     for answer_s, share, pause_s in readings:
@@ -83,14 +87,14 @@
 
 
 def test_slow_answer_does_not_blur_the_clock() -> None:
-    """An answer that took 6 s made a lease 6 s longer for all who wait for its end."""
+    """An answer that took 6 s made every node wait 6 s longer for the end of a lease."""
     sharp = lease.StoreClock(asked_at=0.0, answered_at=0.004, read_s=100.0)
     slow = lease.StoreClock(asked_at=2.0, answered_at=8.0, read_s=108.0)
     assert lease.choose_clock(sharp, slow, 8.0) is sharp
 
 
 def test_clock_of_another_store_is_taken() -> None:
-    """A reading that contradicts the one in use is the newer truth."""
+    """If a new reading contradicts the one in use, the old one is no longer valid."""
     known = lease.StoreClock(asked_at=0.0, answered_at=0.004, read_s=100.0)
     other = lease.StoreClock(asked_at=5.0, answered_at=5.5, read_s=3.0)
     assert lease.choose_clock(known, other, 5.5) is other
--- a/tests/process/keyspace/test_steward.py
+++ b/tests/process/keyspace/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""Histories of whole nodes on one store: no key has two owners, and keys come back."""
+"""Simulates whole nodes on one store: no key may have two owners, and lost keys must come back."""
 
 import collections.abc
 import dataclasses
@@ -33,10 +33,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """A target that keeps what it is granted, on a clock that runs 2% slow."""
+    """A target that holds what it is granted, by a clock that runs 2% slow."""
 
     name: str
-    born: int
+    started_at_ms: int
     sequence: int = 0
     until: float = 0.0
     holds: dict[tuple[int, int], int] = dataclasses.field(default_factory=dict)
@@ -49,10 +49,10 @@
 class Machine:
     name: identity.NodeId
     number: int
-    # Empty for one that follows from the name.
+    # If empty, the address is derived from the name.
     address: str = ""
     scope: trio.CancelScope | None = None
-    keeper: records.Reconciler | None = None
+    reconciler: records.Reconciler | None = None
     target: Target | None = None
     is_frozen: bool = False
 
@@ -62,8 +62,8 @@
     state: metadata.Metadata
     nursery: trio.Nursery
     machines: list[Machine]
-    births: collections.abc.Iterator[int]
-    # Whether nodes reach each other; else they learn from the store only.
+    start_numbers: collections.abc.Iterator[int]
+    # Whether nodes can reach each other. If not, they learn of changes only from the store.
     is_connected: bool = False
     pushed_to: list[str] = dataclasses.field(default_factory=list)
     violations: list[str] = dataclasses.field(default_factory=list)
@@ -81,21 +81,25 @@
 
 
 def build_respond(world: World, address: str) -> http.Respond:
-    """Return what takes the ledgers that other nodes send to an address."""
-    keepers = [machine.keeper for machine in world.machines if machine.keeper is not None]
-    found = [keeper for keeper in keepers if keeper.node.place.peers_address == address]
-    if not world.is_connected or not found:
+    """Return the handler of the ledgers that other nodes push to an address."""
+    reconcilers = [
+        machine.reconciler for machine in world.machines if machine.reconciler is not None
+    ]
+    matching = [
+        reconciler for reconciler in reconcilers if reconciler.node.place.peers_address == address
+    ]
+    if not world.is_connected or not matching:
         raise OSError("unreachable")
 
     async def respond(request: http.Request) -> http.Reply:
         world.pushed_to.append(address)
-        is_taken = records.apply_push(found[0], request.path, request.body)
+        is_taken = records.apply_push(matching[0], request.path, request.body)
         return http.Reply(status=204 if is_taken else 400, body=b"")
 
     return respond
 
 
-def build_keeper(world: World, machine: Machine) -> records.Reconciler:
+def build_reconciler(world: World, machine: Machine) -> records.Reconciler:
     async def connect(address: str) -> trio.abc.Stream:
         if address == "store:1":
             respond = metadata.build_respond(world.state, machine.name)
@@ -116,7 +120,7 @@
             heartbeat_s=HEARTBEAT_S,
             store="store:1",
         ),
-        incarnation=identity.Incarnation(str(next(world.births))),
+        incarnation=identity.Incarnation(str(next(world.start_numbers))),
         wakeups=wakeups,
         now=now,
         draw=rng.random,
@@ -133,9 +137,9 @@
 
 async def run_node(world: World, machine: Machine) -> None:
     with trio.CancelScope() as machine.scope:
-        keeper = machine.keeper = build_keeper(world, machine)
+        reconciler = machine.reconciler = build_reconciler(world, machine)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(timer.run, keeper.node.wakeups)
+            nursery.start_soon(timer.run, reconciler.node.wakeups)
             for task in (
                 records.follow_mesh,
                 registration.announce,
@@ -143,18 +147,18 @@
                 reconciliation.reconcile,
                 records.push_ledger,
             ):
-                nursery.start_soon(task, keeper)
-    machine.keeper = None
+                nursery.start_soon(task, reconciler)
+    machine.reconciler = None
 
 
 async def run_target(machine: Machine, target: Target) -> None:
-    """Send reports as the protocol says, until the target has been replaced."""
+    """Send reports by the protocol until the target is replaced."""
     while machine.target is target:
         drop_lapsed(target)
-        keeper = machine.keeper
+        reconciler = machine.reconciler
         is_pending = False
-        if keeper is not None and not machine.is_frozen:
-            is_pending = await report(machine, keeper, target)
+        if reconciler is not None and not machine.is_frozen:
+            is_pending = await report(machine, reconciler, target)
         await trio.sleep(0.1 if is_pending else HEARTBEAT_S)
 
 
@@ -163,12 +167,12 @@
         target.holds.clear()
 
 
-async def report(machine: Machine, keeper: records.Reconciler, target: Target) -> bool:
+async def report(machine: Machine, reconciler: records.Reconciler, target: Target) -> bool:
     target.sequence += 1
     sent_at = trio.current_time()
     rows = tuple((first, last, fence) for (first, last), fence in target.holds.items())
     released, target.released = tuple(target.released), []
-    node = keeper.node
+    node = reconciler.node
     grant.record_report(
         node.grantor,
         grant.Report(
@@ -182,43 +186,43 @@
         node,
         node_module.Target(
             lifetime=name_lifetime(target),
-            started_at_ms=target.born,
+            started_at_ms=target.started_at_ms,
             slots=6,
             state=target.state,
             reported_at=sent_at,
         ),
         0.0,
     )
-    await reconciliation.await_keys(keeper)
-    given = reconciliation.answer_report(keeper)
+    await reconciliation.await_keys(reconciler)
+    granted = reconciliation.answer_report(reconciler)
     is_late = trio.current_time() - sent_at > ANSWER_LIMIT_S
-    if machine.target is not target or machine.keeper is not keeper or is_late:
+    if machine.target is not target or machine.reconciler is not reconciler or is_late:
         return False
-    return take_grant(target, given, sent_at)
+    return take_grant(target, granted, sent_at)
 
 
 def name_lifetime(target: Target) -> identity.Lifetime:
-    return identity.Lifetime(f"{target.name}@{target.born}")
+    return identity.Lifetime(f"{target.name}@{target.started_at_ms}")
 
 
-def take_grant(target: Target, given: grant.Grant | None, sent_at: float) -> bool:
-    if given is None or given.spans is None:
+def take_grant(target: Target, granted: grant.Grant | None, sent_at: float) -> bool:
+    if granted is None or granted.spans is None:
         return False
-    rows = {(span.first, span.last): span.fence for span in given.spans}
+    rows = {(span.first, span.last): span.fence for span in granted.spans}
     dropped = [row for row in target.holds if row not in rows]
     target.released.extend((first, last, f"h{first}") for first, last in dropped)
     target.holds = rows
-    target.until = sent_at + given.hold_s * (1 + lease.TARGET_DRIFT)
+    target.until = sent_at + granted.hold_s * (1 + lease.TARGET_DRIFT)
     return bool(dropped)
 
 
 def start_target(world: World, machine: Machine) -> None:
-    machine.target = Target(name=f"t{machine.number}", born=next(world.births))
+    machine.target = Target(name=f"t{machine.number}", started_at_ms=next(world.start_numbers))
     world.nursery.start_soon(run_target, machine, machine.target)
 
 
 async def watch(world: World) -> None:
-    """Check at every moment that no key has two owners."""
+    """Record a violation whenever a key has two owners."""
     while True:
         rows = []
         for machine in world.machines:
@@ -226,9 +230,9 @@
                 drop_lapsed(machine.target)
                 rows.extend((*row, machine.name) for row in machine.target.holds)
         rows.sort()
-        for one, other in itertools.pairwise(rows):
-            if other[0] <= one[1] and other[2] != one[2]:
-                world.violations.append(f"{trio.current_time():.2f}: {one} and {other}")
+        for previous, following in itertools.pairwise(rows):
+            if following[0] <= previous[1] and following[2] != previous[2]:
+                world.violations.append(f"{trio.current_time():.2f}: {previous} and {following}")
         await trio.sleep(0.01)
 
 
@@ -246,7 +250,7 @@
         state=metadata.Metadata(now=trio.current_time, delay_s=0.004),
         nursery=nursery,
         machines=[],
-        births=itertools.count(1),
+        start_numbers=itertools.count(1),
     )
     for number in range(count):
         machine = Machine(name=identity.NodeId(f"n{number}"), number=number)
@@ -264,13 +268,13 @@
 
 
 def lose_machine(machine: Machine) -> None:
-    """End a node and its target without a word."""
+    """End a node and its target without notice."""
     stop_node(machine)
     machine.target = None
 
 
 def add_machine(world: World, *, address: str = "") -> Machine:
-    """Start a further node with its target."""
+    """Start another node with its target."""
     machine = Machine(name=identity.NodeId("n9"), number=9, address=address)
     world.machines.append(machine)
     world.nursery.start_soon(run_node, world, machine)
@@ -283,7 +287,7 @@
 
 
 async def wait_whole(world: World, limit_s: float) -> float:
-    """Return how many seconds it takes until all keys are held."""
+    """Wait until all keys are held, and return how many seconds that took."""
     started_at = trio.current_time()
     while trio.current_time() - started_at < limit_s:
         if is_whole(world):
@@ -295,7 +299,7 @@
 async def test_all_keys_are_granted_at_the_start(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Traffic starts 10 s after the machines."""
+    """Traffic starts 10 s after the machines, by when every key must be held."""
     world = await build_world(nursery)
     await wait_whole(world, 2.0)
     assert len({machine.name for machine in world.machines if machine.target}) == 4
@@ -303,15 +307,15 @@
     assert world.violations == []
 
 
-async def test_crashed_target_beside_a_living_node(
+async def test_crashed_target_beside_a_running_node(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """The node beside it knows at once, so that nothing needs to lapse first."""
+    """The node beside a crashed target knows at once, so recovery must not wait for a lease."""
     world = await build_world(nursery)
     machine = world.machines[1]
     machine.target = None
-    assert machine.keeper is not None
-    node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
+    assert machine.reconciler is not None
+    node_module.set_target_gone(machine.reconciler.node, "refuses connections", is_dead=True)
     assert await wait_whole(world, 3.0) < 2.5
     assert world.violations == []
 
@@ -319,7 +323,7 @@
 async def test_restarted_target_holds_nothing_of_before(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A target may start again under its old name."""
+    """A target may restart under its old name, and must not be taken to hold its previous keys."""
     world = await build_world(nursery)
     start_target(world, world.machines[1])
     await trio.sleep(0.01)
@@ -328,7 +332,7 @@
 
 
 async def test_lost_machine(nursery: trio.Nursery, autojump_clock: trio.testing.MockClock) -> None:
-    """Without the node nobody can say more than when its lease ends."""
+    """If the node is lost as well, its keys must be taken over when its lease has expired."""
     world = await build_world(nursery)
     machine = world.machines[0]
     lose_machine(machine)
@@ -339,7 +343,7 @@
 async def test_lost_machine_costs_few_writes(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """All nodes wrote the same ledger at the moment at which a lease ended; all but one failed."""
+    """When a lease expired, all nodes wrote the same ledger at once, and all but one failed."""
     world = await build_world(nursery, 12)
     lose_machine(world.machines[3])
     tries, writes = world.state.asked["/rows-tx", "mesh"], count_ledgers(world)
@@ -353,7 +357,10 @@
 async def test_row_of_a_lost_machine_costs_no_calls(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Its announcement stays; all others read the leases twice a second for one that never came."""
+    """The announcement of a lost machine remains, but its lease is never written again.
+
+    All other nodes read the leases twice a second in search of it.
+    """
     world = await build_world(nursery, 6)
     rest = world.state.asked["/rows-get", "lease"]
     await trio.sleep(20.0)
@@ -367,10 +374,10 @@
     assert world.violations == []
 
 
-async def test_node_that_restarts_beside_a_living_target(
+async def test_node_that_restarts_beside_a_running_target(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """The keys stay where they are."""
+    """Restarting a node must not move the keys of its target."""
     world = await build_world(nursery)
     machine = world.machines[0]
     assert machine.target is not None
@@ -386,7 +393,7 @@
 async def test_node_that_restarts_works_before_its_target_reports(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """What it needs is in the store: members, ledger, and its target's lifetime."""
+    """A restarted node needs members, ledger and its target's lifetime, which are in the store."""
     world = await build_world(nursery)
     machine = world.machines[0]
     machine.is_frozen = True
@@ -394,17 +401,17 @@
     await trio.sleep(0.1)
     nursery.start_soon(run_node, world, machine)
     await trio.sleep(0.3)
-    assert machine.keeper is not None and machine.target is not None
-    node = machine.keeper.node
+    assert machine.reconciler is not None and machine.target is not None
+    node = machine.reconciler.node
     assert node.target is not None and node.target.is_assumed
     assert node.target.lifetime == name_lifetime(machine.target)
     assert SERVICE in node.ledgers and len(node.members) == len(world.machines)
 
 
-async def test_store_away_for_nine_seconds(
+async def test_store_outage_of_nine_seconds(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """An outage of the store alone costs no keys."""
+    """An outage of the store alone must not cost any keys."""
     world = await build_world(nursery)
     world.state.faults[""] = metadata.Fault.SILENT
     for _ in range(90):
@@ -419,7 +426,10 @@
 async def test_leaving_target_hands_over(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A target gets new work for two seconds after its report was answered."""
+    """A leaving target takes new work until two seconds after its report was answered.
+
+    It must hand over all of its keys soon after that.
+    """
     world = await build_world(nursery)
     machine = world.machines[2]
     assert machine.target is not None
@@ -428,14 +438,14 @@
     assert machine.target.holds == {}
     await wait_whole(world, 1.0)
     assert world.violations == []
-    book = ledger.decode(world.state.rows[("mesh", "", f"book/{SERVICE}")].value or b"").unwrap()
-    assert any(span.handover for span in book.spans)
+    decoded = ledger.decode(world.state.rows[("mesh", "", f"book/{SERVICE}")].value or b"").unwrap()
+    assert any(span.handover for span in decoded.spans)
 
 
 async def test_newcomer_gets_keys(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A target that joins takes its part."""
+    """A target that joins must get a share of the keys."""
     world = await build_world(nursery)
     machine = add_machine(world)
     await trio.sleep(6.0)
@@ -443,23 +453,24 @@
     assert world.violations == []
 
 
-async def test_lease_that_was_overlooked_protects_its_keys(
+async def test_unread_lease_protects_its_keys(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Found by the histories (seed 18, once beside load): two owners for 0.9 s.
+    """A node may have read the leases just before another one wrote its lease.
 
-    A node may have read the leases before another wrote its row, and the members while the other's
-    target was down for a moment.
+    If it read the members while the other's target was down for a moment, it knew neither row and
+    took over the keys, which had two owners for 0.9 s. Found by a history with seed 18, once, while
+    the machine was under load.
     """
     world = await build_world(nursery)
     holder = world.machines[0]
     assert holder.target is not None
     holder.is_frozen = True
     for machine in world.machines[1:]:
-        assert machine.keeper is not None
-        machine.keeper.node.members.pop(holder.name)
-        machine.keeper.node.leases.pop(holder.name)
-        node_module.notify_changed(machine.keeper.node)
+        assert machine.reconciler is not None
+        machine.reconciler.node.members.pop(holder.name)
+        machine.reconciler.node.leases.pop(holder.name)
+        node_module.notify_changed(machine.reconciler.node)
     await trio.sleep(2.0)
     holder.is_frozen = False
     await trio.sleep(2.0)
@@ -470,17 +481,17 @@
 async def test_write_from_an_old_ledger_reads_nothing_again(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Grown sites: 590 of 998 writes conflicted, and each read all members and leases again.
+    """A write that conflicts must not read all members and leases again.
 
-    The answer to such a write holds the rows that have changed.
+    At large sites, 590 of 998 writes conflicted. The answer to such a write has the changed rows.
     """
     world = await build_world(nursery, 12)
     state = world.state
     before, reads = state.version, state.asked["/rows-get", records.MESH]
     for machine in world.machines[:6]:
-        assert machine.keeper is not None
+        assert machine.reconciler is not None
         machine.target = None
-        node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
+        node_module.set_target_gone(machine.reconciler.node, "refuses connections", is_dead=True)
     await wait_whole(world, 3.0)
     writes = sum(1 for version, name in state.log if version > before and name[2][:5] == "book/")
     assert state.asked["/rows-tx", records.MESH] > writes + 6
@@ -491,15 +502,15 @@
 async def test_refused_write_reads_nothing_again(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Grown sites: a store that refused a node got two further calls for each refused write."""
+    """At large sites, a store that refused a write got two more calls from the same node."""
     world = await build_world(nursery)
     machine = world.machines[1]
-    assert machine.keeper is not None
+    assert machine.reconciler is not None
     world.state.faults[machine.name] = metadata.Fault.BUSY
     await trio.sleep(1.0)
     reads = world.state.asked["/rows-get", records.MESH]
     machine.target = None
-    node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
+    node_module.set_target_gone(machine.reconciler.node, "refuses connections", is_dead=True)
     await trio.sleep(3.0)
     assert world.state.asked["/rows-get", records.MESH] == reads
     world.state.faults.clear()
@@ -507,12 +518,12 @@
     assert world.violations == []
 
 
-async def test_ledger_is_told_to_those_whom_it_concerns(
+async def test_ledger_is_pushed_only_to_affected_nodes(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Grown sites: each write was sent whole to 42 to 46 nodes over one narrow link.
+    """At large sites, each ledger was pushed to 42 to 46 nodes over the narrow link of its writer.
 
-    A move concerns its holder and its heir.
+    A move affects only the holder and the successor.
     """
     world = await build_world(nursery, 9)
     world.is_connected = True
@@ -526,24 +537,24 @@
     assert "n20:1" in world.pushed_to
     assert len(world.pushed_to) <= 2 * (count_ledgers(world) - before)
     assert all(
-        machine.keeper is not None
-        and machine.keeper.node.ledgers[SERVICE].version
+        machine.reconciler is not None
+        and machine.reconciler.node.ledgers[SERVICE].version
         == world.state.rows[("mesh", "", f"book/{SERVICE}")].version
         for machine in world.machines
     )
     assert world.violations == []
 
 
-# The design's bound on the time until the keys of a lost node are served again.
+# The upper bound of the design on the time until the keys of a lost node are served again.
 RECOVERY_S = 1.0
 
 
 async def test_keys_of_a_machine_whose_address_has_a_new_node(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Incident inc-c150 of Andinaflota: lookups were refused until the lease of the lost one ended.
+    """Lookups were refused until the lease of a lost node expired (incident inc-c150, Andinaflota).
 
-    Its address answered, for another machine had it, so that nothing else was to be waited for.
+    A new machine already answered at its address, which proves that the lost node has ended.
     """
     world = await build_world(nursery)
     world.is_connected = True
@@ -560,25 +571,25 @@
 async def test_row_of_a_succeeded_node_that_is_written_late_is_removed_again(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A write whose answer was lost may be done seconds later, after its writer has ended."""
+    """A write whose answer was lost may be applied seconds later, after its writer has ended."""
     world = await build_world(nursery)
     lost = world.machines[0]
     row = world.state.rows[("mesh", "", f"member/{lost.name}")].value
     lose_machine(lost)
-    heir = add_machine(world, address=f"{lost.name}:1")
+    successor = add_machine(world, address=f"{lost.name}:1")
     await trio.sleep(4.0)
     metadata.put(world.state, "mesh", f"member/{lost.name}", row)
     await trio.sleep(2.0)
     assert world.state.rows[("mesh", "", f"member/{lost.name}")].value is None
-    assert heir.keeper is not None
-    assert lost.name not in heir.keeper.node.members
+    assert successor.reconciler is not None
+    assert lost.name not in successor.reconciler.node.members
     assert world.violations == []
 
 
-async def test_node_with_a_new_name_beside_a_living_target_takes_nothing_from_it(
+async def test_node_with_a_new_name_beside_a_running_target_takes_nothing_from_it(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Its row names the target that still runs and still holds keys."""
+    """The row under the old name names a target that still runs and holds keys."""
     world = await build_world(nursery)
     machine = world.machines[0]
     assert machine.target is not None
@@ -594,7 +605,7 @@
     assert world.violations == []
 
 
-ODD_ROWS = {
+INVALID_ROWS = {
     "nested": b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}",
     "number-too-large": b'{"slots":1e400,"until_s":1e400,"spans":1e400}',
     "port-out-of-range": b'{"node":"n1","address":"10.0.0.1:70000","zone":"z1","service":"lookup",'
@@ -602,33 +613,33 @@
     "gap": b'{"spans":[[0,9,1,"n1","t1@2"],[11,65535,1,"n1","t1@2"]]}',
     "not-json": b"\xff",
 }
-ODD_PLACES = ["mesh member/x", "mesh member/n1", "lease x", "lease n1", f"mesh book/{SERVICE}"]
+ROW_NAMES = ["mesh member/x", "mesh member/n1", "lease x", "lease n1", f"mesh book/{SERVICE}"]
 
 
-@pytest.mark.parametrize("place", ODD_PLACES)
-@pytest.mark.parametrize("value", ODD_ROWS.values(), ids=ODD_ROWS)
-async def test_nodes_go_on_beside_an_odd_row(
-    value: bytes, place: str, nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
+@pytest.mark.parametrize("row_name", ROW_NAMES)
+@pytest.mark.parametrize("value", INVALID_ROWS.values(), ids=INVALID_ROWS)
+async def test_nodes_continue_beside_an_invalid_row(
+    value: bytes, row_name: str, nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Another writer's entry ended the nodes that read it, or they followed nothing any more."""
+    """An invalid row ended the nodes that read it, or stopped them from following changes."""
     world = await build_world(nursery)
-    name, _, key = place.partition(" ")
+    name, _, key = row_name.partition(" ")
     metadata.put(world.state, name, key, value)
     for _ in range(150):
         await trio.sleep(0.1)
         assert count_held(world) > identity.LAST_SLOT // 2
     assert world.violations == []
     await wait_whole(world, 1.0)
-    keepers = [machine.keeper for machine in world.machines]
-    assert all(keeper is not None and keeper.mesh_version for keeper in keepers)
-    # The nodes still follow: a member that joins is known to all.
+    reconcilers = [machine.reconciler for machine in world.machines]
+    assert all(reconciler is not None and reconciler.mesh_version for reconciler in reconcilers)
+    # The nodes still follow changes: all of them know a member that joins.
     joined = add_machine(world)
     await trio.sleep(4.0)
     for machine in world.machines:
-        assert machine.keeper is not None
-        assert joined.name in machine.keeper.node.members
-        assert machine.keeper.lease_row is not None
-        assert machine.keeper.lease_row.until_s > trio.current_time() + 5.0
+        assert machine.reconciler is not None
+        assert joined.name in machine.reconciler.node.members
+        assert machine.reconciler.lease_row is not None
+        assert machine.reconciler.lease_row.until_s > trio.current_time() + 5.0
     if key == "member/n1" or name == "lease":
         kept = world.state.rows[name, "", key].value
         is_own = key.endswith("n1")
@@ -636,12 +647,13 @@
     assert world.violations == []
 
 
-async def test_odd_ledger_keeps_keys_where_they_are(
+async def test_invalid_ledger_keeps_keys_where_they_are(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Keys of living nodes are served on, those of a lost one wait; none has two holders.
+    """While the ledger is unreadable, running nodes keep their keys and lost keys stay unassigned.
 
-    No write can be based on a ledger that nobody can read, so that nodes don't try.
+    No write can be based on an unreadable ledger, so nodes must not keep trying, and no key may get
+    two holders.
     """
     world = await build_world(nursery)
     metadata.put(world.state, "mesh", f"book/{SERVICE}", b"{}")
@@ -651,9 +663,9 @@
     assert (world.state.calls - calls) / 10.0 / len(world.machines) < 3.0
     assert is_whole(world)
     lost = world.machines[0]
-    held = [machine.target and dict(machine.target.holds) for machine in world.machines[1:]]
+    holds_before = [machine.target and dict(machine.target.holds) for machine in world.machines[1:]]
     lose_machine(lost)
-    # One that starts anew knows no ledger and gets none.
+    # A node that restarts can't read the ledger and therefore grants nothing.
     again = world.machines[1]
     stop_node(again)
     await trio.sleep(1.0)
@@ -662,18 +674,21 @@
     calls = world.state.calls
     await trio.sleep(15.0)
     assert (world.state.calls - calls) / 15.0 / len(world.machines) < 3.0
-    assert [machine.target and machine.target.holds for machine in world.machines[2:]] == held[1:]
+    assert [
+        machine.target and machine.target.holds for machine in world.machines[2:]
+    ] == holds_before[1:]
     assert again.target is not None and not again.target.holds
     assert world.state.rows["mesh", "", f"book/{SERVICE}"].value == b"{}"
     assert world.violations == []
 
 
-async def test_ledger_that_is_made_anew_has_higher_fences(
+async def test_recreated_ledger_has_higher_fences(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Targets that live on refuse fences below those that they have seen, and would serve nothing.
+    """An operator removes an unreadable ledger, and the nodes write a new one.
 
-    This is the operator's way out of a ledger that can't be read.
+    Targets that are still running refuse fences below those that they have seen, and would serve
+    nothing.
     """
     world = await build_world(nursery)
     start_target(world, world.machines[1])
@@ -695,10 +710,10 @@
     assert world.violations == []
 
 
-async def test_keys_of_a_lost_machine_whose_lease_row_is_odd(
+async def test_keys_of_a_lost_machine_whose_lease_row_is_invalid(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """They were nobody's for good, as each write that took them required that there was no row."""
+    """Its keys were never reassigned, since each write required that the lease row was missing."""
     world = await build_world(nursery)
     lost = world.machines[0]
     lose_machine(lost)
@@ -712,30 +727,30 @@
 
 async def do_fault(world: World, rng: random.Random, kind: str) -> None:
     machine = rng.choice(world.machines)
-    if kind == "kill-node" and machine.keeper is not None:
+    if kind == "kill-node" and machine.reconciler is not None:
         stop_node(machine)
         await trio.sleep(rng.choice([0.5, 2.0, 14.0]))
         world.nursery.start_soon(run_node, world, machine)
-    elif kind == "crash-target" and machine.keeper is not None:
+    elif kind == "crash-target" and machine.reconciler is not None:
         machine.target = None
-        node_module.set_target_gone(machine.keeper.node, "refuses connections", is_dead=True)
+        node_module.set_target_gone(machine.reconciler.node, "refuses connections", is_dead=True)
         await trio.sleep(rng.choice([1.0, 4.0]))
         start_target(world, machine)
     elif kind == "restart-target":
         start_target(world, machine)
     elif kind == "freeze":
-        # The target's reports do not come through.
+        # The reports of the target are lost.
         machine.is_frozen = True
         await trio.sleep(rng.choice([2.0, 6.0, 12.0]))
         machine.is_frozen = False
     elif kind == "leave" and machine.target is not None:
         machine.target.state = member.TargetState.LEAVING
         await trio.sleep(3.0)
-        # Another fault may have ended it meanwhile.
+        # Another fault may have ended the target meanwhile.
         if machine.target is not None:
             machine.target.state = member.TargetState.READY
     elif kind.startswith("store"):
-        names = [""] if kind == "store" else [one.name for one in world.machines[:2]]
+        names = [""] if kind == "store" else [other.name for other in world.machines[:2]]
         fault = rng.choice(list(metadata.Fault))
         for name in names:
             world.state.faults[name] = fault
@@ -745,13 +760,13 @@
 
 
 def fix_schedule(seed: int) -> None:
-    """Let trio run tasks in the same order each time; else a seed is not one history."""
+    """Make trio schedule tasks in a reproducible order, so that a seed yields a single history."""
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[attr-defined]
     trio._core._run._r.seed(seed)  # type: ignore[attr-defined]
 
 
 async def run_history(nursery: trio.Nursery, seed: int, *, is_connected: bool = False) -> World:
-    """Inject two faults at a time, one pair after the other; all keys are back in the end."""
+    """Inject three pairs of concurrent faults, and check that all keys are held in the end."""
     rng = random.Random(seed)
     world = await build_world(nursery)
     world.is_connected = is_connected
@@ -766,22 +781,22 @@
 
 
 def count_ledgers(world: World) -> int:
-    """Return how often the ledger was written."""
+    """Return how many times the ledger was written."""
     return sum(1 for _, (table, _, key) in world.state.log if (table, key[:5]) == ("mesh", "book/"))
 
 
-# Each fault changes the ledger a few times: taken, dealt, moved, passed on.
-MOST_LEDGERS = 60
+# Each fault changes the ledger a few times, as keys are taken over, assigned, moved and released.
+MAX_LEDGERS = 60
 
 
 async def check_history(
     nursery: trio.Nursery, seed: int, schedule: int, *, is_connected: bool = False
 ) -> None:
-    """Play a history in one order of tasks and check what must hold in all."""
+    """Run a history with one order of tasks, and check the invariants."""
     fix_schedule(schedule)
     world = await run_history(nursery, seed, is_connected=is_connected)
     assert world.violations == [], (seed, world.violations[:3])
-    assert count_ledgers(world) < MOST_LEDGERS
+    assert count_ledgers(world) < MAX_LEDGERS
 
 
 @pytest.mark.parametrize("is_connected", [False, True])
@@ -792,17 +807,18 @@
     seed: int,
     is_connected: bool,
 ) -> None:
-    """No key has two owners, and no node writes the ledger over and over."""
+    """Faults must never give a key two owners or make nodes write the ledger endlessly."""
     await check_history(nursery, seed, seed, is_connected=is_connected)
 
 
 @pytest.mark.parametrize("seed", [61, 73, 90])
-async def test_ledgers_that_come_before_members(
+async def test_ledgers_that_arrive_before_members(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, seed: int
 ) -> None:
-    """Two nodes gave keys to each other's ended target, 250 times a second (1,476 ledgers).
+    """Two nodes gave keys to each other's ended target 250 times per second (1,476 ledgers).
 
-    Each knew the newest ledger, told by the other, and members from before both had changed.
+    Each had got the newest ledger from the other, but still knew the members from before both of
+    them had changed.
     """
     await check_history(nursery, seed, seed, is_connected=True)
 
@@ -810,8 +826,8 @@
 @pytest.mark.parametrize(
     ("seed", "schedule"),
     [
-        # A renewal with an earlier end was done, its answer lost, and the lease taken over while
-        # the node still trusted the longer one.
+        # A renewal with an earlier end was applied and its answer lost, so that the keys were taken
+        # over while the node still relied on the longer lease.
         (18, 0),
         (18, 34),
     ],
@@ -819,14 +835,14 @@
 async def test_histories_that_failed(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, seed: int, schedule: int
 ) -> None:
-    """Histories that once gave a key two owners, in the order of tasks that showed it."""
+    """Histories in which a key once had two owners, with the order of tasks that showed it."""
     await check_history(nursery, seed, schedule)
 
 
 async def test_silent_target_gets_no_keys_back(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A node whose target sends no reports gave its keys to it again, 200 times a second."""
+    """A node whose target had fallen silent gave its keys back to it 200 times per second."""
     world = await build_world(nursery)
     before = count_ledgers(world)
     machine = world.machines[1]
--- a/tests/process/keyspace/test_records.py
+++ b/tests/process/keyspace/test_records.py
@@ -1,4 +1,4 @@
-"""Rows of the table that another writer has left: each costs itself and nothing else."""
+"""Invalid rows left in the store by other writers, which must affect nothing but themselves."""
 
 import hypothesis
 from hypothesis import strategies
@@ -14,7 +14,7 @@
 SERVICE = identity.ServiceId("lookup")
 DEEP = b"[" * 100_000 + b"]" * 100_000
 DIGITS = b"9" * 30
-GOOD_MEMBER = {
+VALID_MEMBER = {
     "node": "n1",
     "address": "10.0.0.1:80",
     "zone": "z1",
@@ -23,15 +23,15 @@
     "slots": 6,
     "state": "ready",
 }
-GOOD_SPANS = [[0, 999, 3, "n1", "t1@5"], [1000, 65_535, 4, "n2", "t2@5", "n1", "t1@5", "h"]]
+VALID_SPANS = [[0, 999, 3, "n1", "t1@5"], [1000, 65_535, 4, "n2", "t2@5", "n1", "t1@5", "h"]]
 
-ODD_MEMBERS = {
+INVALID_MEMBERS = {
     "empty": b"",
     "not-json": b"\x00\xff",
     "nested": b'{"x":' + DEEP + b"}",
     "number-too-large": b'{"slots":1e400}',
     **{
-        name: msgspec.json.encode({**GOOD_MEMBER, **change})
+        name: msgspec.json.encode({**VALID_MEMBER, **change})
         for name, change in {
             "port-out-of-range": {"address": "10.0.0.1:70000"},
             "port-negative": {"address": "10.0.0.1:-1"},
@@ -49,9 +49,9 @@
             "state-unknown": {"state": "asleep"},
         }.items()
     },
-    "slots-huge": msgspec.json.encode(GOOD_MEMBER).replace(b'"slots":6', b'"slots":' + DIGITS),
+    "slots-huge": msgspec.json.encode(VALID_MEMBER).replace(b'"slots":6', b'"slots":' + DIGITS),
 }
-ODD_LEDGERS = {
+INVALID_LEDGERS = {
     "empty": b"",
     "not-json": b"{",
     "nested": b'{"spans":[],"x":' + DEEP + b"}",
@@ -79,7 +79,7 @@
 }
 
 
-def build_steward() -> records.Reconciler:
+def build_reconciler() -> records.Reconciler:
     node = test_origin.build_origin(0.0).node
     node.members.clear()
     node.ledgers.clear()
@@ -96,86 +96,86 @@
     return table.Row(name=table.Name(table=records.MESH, key=key), value=body, version=version)
 
 
-def take(steward: records.Reconciler, *rows: table.Row, is_whole: bool = False) -> None:
+def take(reconciler: records.Reconciler, *rows: table.Row, is_whole: bool = False) -> None:
     version = max(row.version for row in rows)
     read = table.Rows(rows=rows, version=version, clock=None)
-    records.apply_rows(steward, read, is_whole=is_whole)
+    records.apply_rows(reconciler, read, is_whole=is_whole)
 
 
-@pytest.mark.parametrize("value", ODD_MEMBERS.values(), ids=ODD_MEMBERS)
-async def test_odd_member_costs_its_own_row(
+@pytest.mark.parametrize("value", INVALID_MEMBERS.values(), ids=INVALID_MEMBERS)
+async def test_invalid_member_affects_only_its_own_row(
     value: bytes, autojump_clock: trio.testing.MockClock, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """One odd announcement ended every node that read it, or failed later where it was used."""
-    steward = build_steward()
-    odd = build_row("member/n1", value, 7)
+    """An invalid announcement ended every node that read it, or failed later where it was used."""
+    reconciler = build_reconciler()
+    invalid_row = build_row("member/n1", value, 7)
     rows = [
-        build_row("member/n0", {**GOOD_MEMBER, "node": "n0"}, 6),
-        odd,
-        build_row("member/n2", {**GOOD_MEMBER, "node": "n2"}, 8),
-        build_row("book/lookup", {"spans": GOOD_SPANS}, 9),
+        build_row("member/n0", {**VALID_MEMBER, "node": "n0"}, 6),
+        invalid_row,
+        build_row("member/n2", {**VALID_MEMBER, "node": "n2"}, 8),
+        build_row("book/lookup", {"spans": VALID_SPANS}, 9),
     ]
-    take(steward, *rows, is_whole=True)
-    assert set(steward.node.members) == {"n0", "n2"}
-    assert steward.node.ledgers[SERVICE].version == 9
-    assert steward.mesh_version == 9
-    take(steward, *rows, is_whole=True)
+    take(reconciler, *rows, is_whole=True)
+    assert set(reconciler.node.members) == {"n0", "n2"}
+    assert reconciler.node.ledgers[SERVICE].version == 9
+    assert reconciler.mesh_version == 9
+    take(reconciler, *rows, is_whole=True)
     logged = [entry for entry in caplog.records if entry.message == "row-unreadable"]
     assert [entry.fields["row"] for entry in logged] == ["mesh/member/n1"]  # type: ignore[attr-defined]
 
 
-@pytest.mark.parametrize("value", ODD_MEMBERS.values(), ids=ODD_MEMBERS)
-async def test_member_that_turns_odd_keeps_its_last_good_meaning(
+@pytest.mark.parametrize("value", INVALID_MEMBERS.values(), ids=INVALID_MEMBERS)
+async def test_member_with_an_invalid_row_keeps_its_last_valid_state(
     value: bytes, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Its target still runs, and dropping it would take a living target out of service."""
-    steward = build_steward()
-    take(steward, build_row("member/n1", GOOD_MEMBER, 6), is_whole=True)
+    """Dropping a member because of an invalid row would take a running target out of service."""
+    reconciler = build_reconciler()
+    take(reconciler, build_row("member/n1", VALID_MEMBER, 6), is_whole=True)
     for is_whole in (False, True):
-        take(steward, build_row("member/n1", value, 7), is_whole=is_whole)
-        assert steward.node.members[identity.NodeId("n1")].lifetime == "t1@5"
-    take(steward, build_row("member/n1", {**GOOD_MEMBER, "lifetime": "t1@6"}, 8))
-    assert steward.node.members[identity.NodeId("n1")].lifetime == "t1@6"
+        take(reconciler, build_row("member/n1", value, 7), is_whole=is_whole)
+        assert reconciler.node.members[identity.NodeId("n1")].lifetime == "t1@5"
+    take(reconciler, build_row("member/n1", {**VALID_MEMBER, "lifetime": "t1@6"}, 8))
+    assert reconciler.node.members[identity.NodeId("n1")].lifetime == "t1@6"
 
 
-@pytest.mark.parametrize("value", ODD_LEDGERS.values(), ids=ODD_LEDGERS)
-async def test_odd_ledger_costs_its_own_row(
+@pytest.mark.parametrize("value", INVALID_LEDGERS.values(), ids=INVALID_LEDGERS)
+async def test_invalid_ledger_affects_only_its_own_row(
     value: bytes, autojump_clock: trio.testing.MockClock, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """An odd ledger ended every node, or sent requests by ranges that overlap or end early."""
-    steward = build_steward()
-    take(steward, build_row("book/lookup", {"spans": GOOD_SPANS}, 6), is_whole=True)
+    """An invalid ledger ended every node, or routed requests by overlapping or missing ranges."""
+    reconciler = build_reconciler()
+    take(reconciler, build_row("book/lookup", {"spans": VALID_SPANS}, 6), is_whole=True)
     for is_whole in (False, True):
-        rows = [build_row("book/lookup", value, 7), build_row("member/n1", GOOD_MEMBER, 8)]
-        take(steward, *rows, is_whole=is_whole)
-        assert steward.node.ledgers[SERVICE].version == 6
-        assert len(steward.node.ledgers[SERVICE].ledger.spans) == 2
-        assert "n1" in steward.node.members
-        assert steward.mesh_version == 8
+        rows = [build_row("book/lookup", value, 7), build_row("member/n1", VALID_MEMBER, 8)]
+        take(reconciler, *rows, is_whole=is_whole)
+        assert reconciler.node.ledgers[SERVICE].version == 6
+        assert len(reconciler.node.ledgers[SERVICE].ledger.spans) == 2
+        assert "n1" in reconciler.node.members
+        assert reconciler.mesh_version == 8
     logged = [entry for entry in caplog.records if entry.message == "row-unreadable"]
     assert [entry.fields["row"] for entry in logged] == ["mesh/book/lookup"]  # type: ignore[attr-defined]
 
 
-@pytest.mark.parametrize("value", ODD_LEDGERS.values(), ids=ODD_LEDGERS)
-async def test_odd_ledger_of_another_node_is_refused(
+@pytest.mark.parametrize("value", INVALID_LEDGERS.values(), ids=INVALID_LEDGERS)
+async def test_invalid_ledger_from_another_node_is_refused(
     value: bytes, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A message that could not be read ended the node that received it."""
-    steward = build_steward()
-    take(steward, build_row("book/lookup", {"spans": GOOD_SPANS}, 6), is_whole=True)
-    assert not records.apply_push(steward, "/ebonyvalve/ledger/lookup/7", value)
-    assert steward.node.ledgers[SERVICE].version == 6
+    """An invalid message ended the node that received it."""
+    reconciler = build_reconciler()
+    take(reconciler, build_row("book/lookup", {"spans": VALID_SPANS}, 6), is_whole=True)
+    assert not records.apply_push(reconciler, "/ebonyvalve/ledger/lookup/7", value)
+    assert reconciler.node.ledgers[SERVICE].version == 6
 
 
 @pytest.mark.parametrize("version", ["", "x", "-7", "0", "1e3", "٧", "9" * 30, "9" * 5000])
-async def test_odd_version_of_a_ledger_is_refused(
+async def test_invalid_version_of_a_ledger_is_refused(
     version: str, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A ledger with a version beyond the store's counter hid every later one for good."""
-    steward = build_steward()
-    body = msgspec.json.encode({"spans": GOOD_SPANS})
-    assert not records.apply_push(steward, f"/ebonyvalve/ledger/lookup/{version}", body)
-    assert SERVICE not in steward.node.ledgers
+    """A ledger with a version above the store's counter hid all later ones for good."""
+    reconciler = build_reconciler()
+    body = msgspec.json.encode({"spans": VALID_SPANS})
+    assert not records.apply_push(reconciler, f"/ebonyvalve/ledger/lookup/{version}", body)
+    assert SERVICE not in reconciler.node.ledgers
 
 
 TREES = strategies.recursive(
@@ -192,12 +192,12 @@
 @hypothesis.given(
     strategies.binary()
     | TREES.map(msgspec.json.encode)
-    | strategies.fixed_dictionaries({}, optional=dict.fromkeys(GOOD_MEMBER, TREES)).map(
-        lambda change: msgspec.json.encode({**GOOD_MEMBER, **change})
+    | strategies.fixed_dictionaries({}, optional=dict.fromkeys(VALID_MEMBER, TREES)).map(
+        lambda change: msgspec.json.encode({**VALID_MEMBER, **change})
     )
 )
 def test_any_bytes_are_a_usable_member_or_a_reason(value: bytes) -> None:
-    """What a member holds is used in addresses, headers and divisions without further checks."""
+    """The fields of a member are used in addresses, headers and divisions without more checks."""
     decoded = member.decode(value)
     found = decoded.value_or(None)
     if found is None:
@@ -239,7 +239,7 @@
     )
 )
 def test_any_bytes_are_a_whole_ledger_or_a_reason(value: bytes) -> None:
-    """Every key must be in exactly one span, or a key could have two holders or none."""
+    """A key that is not in exactly one span would have two holders or none."""
     decoded = ledger.decode(value)
     found = decoded.value_or(None)
     if found is None:
--- a/tests/process/load/test_gate.py
+++ b/tests/process/load/test_admission.py
@@ -1,4 +1,4 @@
-"""Load patterns at one target: bursts, urgent and patient requests, cold starts."""
+"""Admission to one target: bursts, urgent and patient requests, cold starts."""
 
 import dataclasses
 import heapq
@@ -11,7 +11,7 @@
 WORK_S = 0.1
 
 
-def build_gate(slots: int = 4, cold_rate: float = 10.0) -> admission.Controller:
+def build_controller(slots: int = 4, cold_rate: float = 10.0) -> admission.Controller:
     return admission.Controller(slots=slots, cold_rate=cold_rate, work_s=WORK_S)
 
 
@@ -22,8 +22,8 @@
 
 
 def test_never_more_than_the_slots_run() -> None:
-    """A burst of many callers at once."""
-    state = build_gate()
+    """A burst of requests must not overload the target beyond its slots."""
+    state = build_controller()
     rng = random.Random(1)
     now = 0.0
     running: list[admission.Ticket] = []
@@ -39,26 +39,29 @@
 
 
 def test_burst_beyond_the_objective_is_refused_at_once() -> None:
-    """A request whose wait exceeds its objective would be late; its caller is told when to come."""
-    state = build_gate()
+    """A request that would wait longer than its objective would be late.
+
+    Its caller is told at once when to retry.
+    """
+    state = build_controller()
     answers = [admission.admit(state, build_demand(2.0), 0.0) for _ in range(40)]
-    refused = [one for one in answers if one.verdict is admission.Verdict.REFUSE]
+    refused = [answer for answer in answers if answer.verdict is admission.Verdict.REFUSE]
     assert refused
-    assert all(one.retry_after_s > 0 for one in refused)
-    waits = [one.wait_s for one in answers if one.verdict is not admission.Verdict.REFUSE]
+    assert all(answer.retry_after_s > 0 for answer in refused)
+    waits = [answer.wait_s for answer in answers if answer.verdict is not admission.Verdict.REFUSE]
     assert max(waits) <= 0.3
 
 
 def test_request_that_cannot_finish_is_refused() -> None:
-    """A request with less time left than its work takes is not held till its deadline."""
-    state = build_gate()
+    """A request with less time left than its work takes must not wait until its deadline."""
+    state = build_controller()
     admitted = admission.admit(state, build_demand(0.02), 0.0)
     assert admitted.verdict is admission.Verdict.REFUSE
 
 
 def test_urgent_requests_overtake() -> None:
-    """Calls that running requests depend on go first."""
-    state = build_gate(slots=1)
+    """Running requests depend on urgent calls, which therefore go before patient requests."""
+    state = build_controller(slots=1)
     first = admission.admit(state, build_demand(2.0), 0.0).ticket
     patient = admission.admit(state, build_demand(2.0, priority=2), 0.0).ticket
     urgent = admission.admit(state, build_demand(2.0, priority=0), 0.0).ticket
@@ -70,8 +73,8 @@
 
 @pytest.mark.parametrize("offered_per_s", [20, 50, 200])
 def test_cold_target_gets_no_more_than_it_bears(offered_per_s: int) -> None:
-    """Full load on a target that has just started crashes it."""
-    state = build_gate(slots=50, cold_rate=10.0)
+    """Full load crashes a target that has just started."""
+    state = build_controller(slots=50, cold_rate=10.0)
     admission.record_cold(state, 10.0)
     starts: list[float] = []
     now = 0.0
@@ -87,12 +90,12 @@
                 starts.append(now)
                 admission.release(state, ticket, work_s=WORK_S)
     for start in starts:
-        assert sum(1 for one in starts if start <= one < start + 1.0) <= 10
+        assert sum(1 for other in starts if start <= other < start + 1.0) <= 10
 
 
 def test_turning_cold_counts_the_starts_before() -> None:
-    """A target that turns cold without warning has had its share of the second already."""
-    state = build_gate(slots=50, cold_rate=10.0)
+    """A target that turns cold without notice has already had its requests for this second."""
+    state = build_controller(slots=50, cold_rate=10.0)
     for _ in range(30):
         ticket = admission.admit(state, build_demand(2.0), 0.0).ticket
         assert ticket is not None
@@ -101,9 +104,9 @@
     assert admission.admit(state, build_demand(2.5, 2.0), 0.5).verdict is not admission.Verdict.RUN
 
 
-def test_late_waiters_are_told() -> None:
-    """A request that waited until its work can't finish any more is refused, not run."""
-    state = build_gate(slots=1)
+def test_late_waiters_are_refused() -> None:
+    """A request that has waited until it can no longer finish in time is refused, not run."""
+    state = build_controller(slots=1)
     first = admission.admit(state, build_demand(2.0), 0.0).ticket
     second = admission.admit(state, build_demand(0.25), 0.0).ticket
     assert first is not None
@@ -114,8 +117,8 @@
 
 
 def test_withdrawn_waiters_leave_the_queue() -> None:
-    """A caller that has left takes no slot."""
-    state = build_gate(slots=1)
+    """The request of a caller that has disconnected must not take a slot."""
+    state = build_controller(slots=1)
     first = admission.admit(state, build_demand(2.0), 0.0).ticket
     second = admission.admit(state, build_demand(2.0), 0.0).ticket
     assert first is not None and second is not None
@@ -131,16 +134,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Served:
-    """Requests of one kind: how they ended, and the seconds until their ends."""
+    """Requests of one kind: how many were refused, and how many seconds the others took."""
 
     refused: int = 0
     took_s: list[float] = dataclasses.field(default_factory=list)
 
 
 def play_mix(rates: dict[str, float], slots: int, until_s: float) -> dict[str, Served]:
-    """Play orders and the calls of other requests at one target; return what became of each."""
+    """Simulate short calls and long orders at one target; return the results by kind."""
     rng = random.Random(7)
-    state = build_gate(slots=slots)
+    state = build_controller(slots=slots)
     served = {"call": Served(), "order": Served()}
     came: dict[admission.Ticket, tuple[str, float]] = {}
     events: list[tuple[float, int, str, admission.Ticket | None]] = []
@@ -178,10 +181,11 @@
 
 
 def test_calls_go_ahead_of_long_orders() -> None:
-    """An evacuated zone at the Darkroom: bookings and membership checks on too few targets.
+    """Short calls were refused behind long orders while a zone was evacuated.
 
-    A check that is refused fails a request that has used a slot elsewhere for longer than the
-    check takes; 1098 of 7490 tries ended so on that day.
+    Too few targets were left at the Darkroom for bookings and membership checks. A refused check
+    fails a request that has already used a slot elsewhere for longer than the check takes: 1098 of
+    7490 attempts ended like this.
     """
     served = play_mix({"call": 60.0, "order": 18.0}, slots=6, until_s=60.0)
     calls = served["call"]
@@ -190,7 +194,7 @@
 
 
 def test_overtaken_orders_are_admitted_only_if_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Orders that calls overtake must not all end late: those that would be are told at once."""
+    """Orders that calls overtake must be refused at once if they would end late."""
 
     def find_late_share() -> float:
         orders = play_mix({"call": 60.0, "order": 25.0}, slots=6, until_s=60.0)["order"]
@@ -198,14 +202,14 @@
         late = sum(1 for took_s in orders.took_s if took_s > ORDER.objective_s)
         return late / len(orders.took_s)
 
-    foreseen = find_late_share()
+    late_share = find_late_share()
     monkeypatch.setattr(admission, "MAX_OVERTAKING_LOAD", 0.0)
-    assert foreseen < 0.5 * find_late_share()
+    assert late_share < 0.5 * find_late_share()
 
 
 def test_work_is_known_by_kind() -> None:
-    """Queued calls take less time than queued orders, so that more of them fit."""
-    state = build_gate(slots=1)
+    """With one work time for all kinds, too few short calls would be admitted to the queue."""
+    state = build_controller(slots=1)
     for kind, work_s in WORK.items():
         for _ in range(40):
             demand = admission.Demand(deadline_at=9.0, objective_s=5.0, priority=1, kind=kind)
--- a/tests/process/load/test_suspicion.py
+++ b/tests/process/load/test_crashes.py
@@ -1,4 +1,4 @@
-"""Load pattern: a caller sends a request again and again that crashes each target it reaches."""
+"""A caller repeats a request that crashes every target it reaches."""
 
 from ebonyvalve.process import identity
 from ebonyvalve.process.load import crashes
@@ -7,8 +7,8 @@
 POPULAR = identity.Fingerprint("popular")
 
 
-def test_request_of_three_crashes_is_guilty() -> None:
-    """What ran beside it in one of them is not."""
+def test_request_of_three_crashes_is_quarantined() -> None:
+    """A request that ran in one of the crashes only by chance must not be quarantined."""
     state = crashes.Quarantine()
     for number in range(3):
         assert not crashes.is_quarantined(state, POISON, number * 4.0)
@@ -22,7 +22,7 @@
 
 
 def test_fault_of_several_targets_counts_once() -> None:
-    """A rack without power says nothing of what its targets ran."""
+    """A power failure of a rack is not the fault of the requests that its targets were running."""
     state = crashes.Quarantine()
     for number in range(6):
         crashes.record_crash(state, [POPULAR], 1.0 + number * 0.01)
@@ -30,7 +30,7 @@
 
 
 def test_old_crashes_are_forgotten() -> None:
-    """A target that was mended must get such requests again."""
+    """A request must be served again after the fault in the target has been fixed."""
     state = crashes.Quarantine()
     for number in range(3):
         crashes.record_crash(state, [POISON], number * 1.0)
@@ -39,7 +39,7 @@
 
 
 def test_memory_is_bounded() -> None:
-    """The oldest go first."""
+    """Many crashes must not exhaust the memory; the oldest entries are dropped first."""
     state = crashes.Quarantine()
     for number in range(crashes.CAPACITY + 10):
         crashes.record_crash(state, [identity.Fingerprint(str(number))], number * 0.001)
--- a/tests/process/load/test_heat.py
+++ b/tests/process/load/test_rates.py
@@ -1,4 +1,4 @@
-"""Rates of keys under a load that changes within seconds."""
+"""Request rates of keys under a load that changes within seconds."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def test_rates_follow_the_load_and_fade() -> None:
-    """A key that was busy five seconds ago is not busy now."""
+    """A key that was busy five seconds ago must not still count as busy."""
     state = rates.KeyRates(updated_at=0.0)
     now = 0.0
     for _ in range(2000):
@@ -18,11 +18,11 @@
     assert rates.read_rates(state, now + 60.0) == {}
 
 
-def test_keys_that_left_are_dropped() -> None:
-    """The load of keys that another target has now must not be counted."""
+def test_keys_that_moved_away_are_dropped() -> None:
+    """The load of keys that have moved to another target must not be counted."""
     state = rates.KeyRates(updated_at=0.0)
-    for slot in (5, 10, 15, 20, 25):
-        rates.record(state, slot, 0.0)
+    for key_slot in (5, 10, 15, 20, 25):
+        rates.record(state, key_slot, 0.0)
     rates.retain(state, [(0, 9), (15, 20)])
     assert set(rates.read_rates(state, 0.0)) == {5, 15, 20}
     assert rates.read_total(state, 0.0) == pytest.approx(3 / rates.MEMORY_S)
--- a/tests/process/observation/test_output.py
+++ b/tests/process/observation/test_output.py
@@ -1,4 +1,4 @@
-"""Logging must not slow a node down, nor hide what it believes."""
+"""Logging must neither slow a node down nor hide changes of its state."""
 
 import logging
 import os
@@ -13,7 +13,7 @@
 
 
 def test_storm_of_refusals_is_cut_and_counted() -> None:
-    """Thousands of refusals a second leave a sample and the number of those left out."""
+    """Thousands of refusals per second must not flood the log, and omitted lines are counted."""
     now = [0.0]
     reader, writer = os.pipe()
     out = output.open_output(writer, lambda: now[0])
@@ -32,7 +32,7 @@
 
 
 def test_full_pipe_is_never_waited_for() -> None:
-    """A reader that has stopped must not stop the node."""
+    """A reader that has stopped reading must not block the node."""
     reader, writer = os.pipe()
     out = output.open_output(writer, lambda: 0.0)
     for _ in range(5000):
@@ -42,11 +42,11 @@
 
 
 def test_metrics_in_the_usual_text_format() -> None:
-    """On-call engineers read counters by outcome and reason, and latencies by service."""
-    counted = counters.Counters()
-    counters.count(counted, "orders", "answered", "none", 0.15)
-    counters.count(counted, "orders", "not-run", "queue-full", 0.001)
-    text = counters.render(counted, {"queue_length": 3}).decode()
+    """Operators rely on counters by outcome and reason, and on latencies by service."""
+    request_counters = counters.Counters()
+    counters.count(request_counters, "orders", "answered", "none", 0.15)
+    counters.count(request_counters, "orders", "not-run", "queue-full", 0.001)
+    text = counters.render(request_counters, {"queue_length": 3}).decode()
     assert (
         'ebonyvalve_requests_total{outcome="not-run",reason="queue-full",service="orders"} 1.0'
         in text
--- a/tests/process/test_odd_input.py
+++ b/tests/process/test_odd_input.py
@@ -1,4 +1,4 @@
-"""Input of other writers on the product's own interface: it ended the process that read it."""
+"""Invalid input to the product's own interface, which used to end the process that read it."""
 
 import msgspec
 import pytest
@@ -9,7 +9,7 @@
 
 DEEP = test_records.DEEP
 MEMBER = ["n1", "a", "z1", "lookup", "10.0.0.1:80", "10.0.0.1:81", 6]
-ODD_MEMBERS = {
+INVALID_MEMBERS = {
     "empty": b"",
     "nested": msgspec.json.encode(MEMBER)[:-1] + b",false,false,false," + DEEP + b"]",
     "number-too-large": b'["n1","a","z1","lookup","10.0.0.1:80","10.0.0.1:81",1e400]',
@@ -22,15 +22,15 @@
 }
 
 
-@pytest.mark.parametrize("value", ODD_MEMBERS.values(), ids=ODD_MEMBERS)
-def test_odd_member_is_passed_over(value: bytes) -> None:
-    """One odd announcement ended the node that claimed a term or gathered its members."""
-    good = msgspec.json.encode(MEMBER)
+@pytest.mark.parametrize("value", INVALID_MEMBERS.values(), ids=INVALID_MEMBERS)
+def test_invalid_member_is_skipped(value: bytes) -> None:
+    """A single invalid announcement ended the node that claimed a term or read the members."""
+    valid = msgspec.json.encode(MEMBER)
     rows = {
         name: platform.Row(value=body, version=1)
-        for name, body in {"node/n0": value, "node/n1": good, "node/n2": value}.items()
+        for name, body in {"node/n0": value, "node/n1": valid, "node/n2": value}.items()
     }
-    assert cell.read_members(rows) == [msgspec.json.decode(good, type=message.Member)]
+    assert cell.read_members(rows) == [msgspec.json.decode(valid, type=message.Member)]
 
 
 @pytest.mark.parametrize(
@@ -48,11 +48,11 @@
     ],
     ids=range(9),
 )
-def test_odd_announcement_is_refused(body: bytes) -> None:
-    """Slots below 1 end the process by an invariant, other figures where they are used."""
+def test_invalid_announcement_is_refused(body: bytes) -> None:
+    """Slots below 1 violate an invariant that ends the process; other values fail in later use."""
     assert monitor.read_announcement(body).failure()
 
 
-def test_odd_entry_of_the_history_is_a_failure() -> None:
-    """It ended the command that published."""
+def test_invalid_entry_of_the_history_is_a_failure() -> None:
+    """An invalid entry ended the command that was publishing a configuration."""
     assert publish._parse_entry("config/1", b'{"x":' + DEEP + b"}").failure()
