--- a/src/ebonyvalve/process/decoding.py
+++ b/src/ebonyvalve/process/decoding.py
@@ -23,7 +23,7 @@
 
 # JSON readers that use doubles represent integers exactly up to this.
 MAX_COUNT = 2**53 - 1
-# Far above any real duration, and small enough that sums of doubles stay exact to a second.
+# Far above any real duration, and far below where sums of doubles lose whole seconds.
 MAX_SECONDS = 1e12
 MAX_SLOTS = 1_000_000
 MAX_LOAD = 1e9
@@ -113,31 +113,31 @@
 
 def decode(
     body: bytes | msgspec.Raw,
-    form: type[Decoded],
+    value_type: type[Decoded],
     find_fault: collections.abc.Callable[[Decoded], str] = accept_any,
 ) -> result.Result[Decoded, str]:
     """Decode JSON, and return the value or why it is invalid.
 
     :param body: the JSON.
-    :param form: the type of the value.
+    :param value_type: the type of the value.
     :param find_fault: returns what is wrong with a value of that type, or an empty string.
     """
     try:
-        value = msgspec.json.decode(body, type=form)
+        value = msgspec.json.decode(body, type=value_type)
         fault = find_fault(value)
     except DECODE_ERRORS as exc:
         fault = describe_error(exc)
     return result.Failure(fault[:MAX_CAUSE_CHARS]) if fault else result.Success(value)
 
 
-def convert(tree: object, form: type[Decoded]) -> result.Result[Decoded, str]:
+def convert(tree: object, value_type: type[Decoded]) -> result.Result[Decoded, str]:
     """Convert a tree of plain objects, and return the value or why it is invalid.
 
     :param tree: the objects, as the parser of another format returns them.
-    :param form: the type of the value.
+    :param value_type: the type of the value.
     """
     try:
-        return result.Success(msgspec.convert(tree, form, strict=False))
+        return result.Success(msgspec.convert(tree, value_type, strict=False))
     except DECODE_ERRORS as exc:
         return result.Failure(describe_error(exc))
 
@@ -172,19 +172,19 @@
 
 
 def decode_compressed(
-    compressed: bytes, form: type[Decoded], *, max_bytes: int
+    compressed: bytes, value_type: type[Decoded], *, max_bytes: int
 ) -> result.Result[Decoded, str]:
     """Decode compressed MessagePack, and return the value or why it is invalid.
 
     :param compressed: the MessagePack, compressed with ``zlib``.
-    :param form: the type of the value.
+    :param value_type: the type of the value.
     :param max_bytes: the most bytes that it may decompress to.
     """
     decompressed = decompress(compressed, max_bytes=max_bytes)
     if not isinstance(decompressed, result.Success):
         return result.Failure(decompressed.failure())
     try:
-        return result.Success(msgspec.msgpack.decode(decompressed.unwrap(), type=form))
+        return result.Success(msgspec.msgpack.decode(decompressed.unwrap(), type=value_type))
     except DECODE_ERRORS as exc:
         return result.Failure(describe_error(exc))
 
--- a/src/ebonyvalve/process/load/link.py
+++ b/src/ebonyvalve/process/load/link.py
@@ -7,7 +7,7 @@
 import dataclasses
 
 # Pings and the calls that running requests depend on share the queue with large answers. Their
-# time-outs begin at a few tenths of a second.
+# time limits begin at a few tenths of a second.
 MAX_BACKLOG_S = 0.2
 # Answers that occupy the link for less than this don't wait for it.
 LARGE_TRANSFER_S = 0.02
--- a/src/ebonyvalve/process/load/selection.py
+++ b/src/ebonyvalve/process/load/selection.py
@@ -28,7 +28,7 @@
 
     Times are in seconds. ``offered`` is the work that arrives for the target per second divided by
     the work it can do per second, ``request_load`` what one request per second adds to it.
-    ``work_s`` is the mean work time of the last few answers. ``busy`` counts the requests that ran
+    ``work_s`` is the work time over the last few answers. ``busy`` counts the requests that ran
     or waited there at ``reported_at``, ``outstanding`` those that this node has sent there.
     """
 
--- a/src/ebonyvalve/process/node.py
+++ b/src/ebonyvalve/process/node.py
@@ -22,7 +22,7 @@
     ``reported_at`` is in seconds on the node's clock. ``is_assumed`` is set for a target that is
     known only from the node's row in the store and has not reported yet. ``is_dead`` means that its
     process has ended; a target that is gone but not dead may still run and hold keys.
-    ``is_silent`` means that it has not reported until after all of its holds have expired.
+    ``is_silent`` means that it has sent no report for so long that all of its holds have expired.
     """
 
     lifetime: identity.Lifetime
@@ -55,10 +55,12 @@
 class Node:
     """The state that lives as long as the process.
 
-    ``is_stopping`` means that callers are sent to other nodes, ``is_ending`` that this process
-    sends no more work to the target. ``closed_at`` is when the target last stopped taking new work,
-    in seconds on the node's clock. ``changed`` is set and replaced by a new event on every state
-    change that other tasks may wait for.
+    ``is_mesh_known`` is set once members and ledgers, and ``is_operator_state_known`` once the
+    operator's rows have been read. ``is_stopping`` means that callers are sent to other nodes,
+    ``is_ending`` that this process sends no more work to the target. ``closed_at`` is when the
+    target last stopped taking new work, in seconds on the node's clock. ``changed`` is set and
+    replaced by a new event on every state change that other tasks may wait for. ``draw`` returns
+    random numbers from 0 to 1.
     """
 
     place: place.Place
--- a/src/ebonyvalve/process/place.py
+++ b/src/ebonyvalve/process/place.py
@@ -7,9 +7,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RetryAllowance:
-    """How many retries all nodes together may send.
+    """How many retries all nodes together may send for one service.
 
-    Within ``window_s`` seconds, that is ``ratio`` times the requests plus ``slack`` requests.
+    In any period of ``window_s`` seconds, that is ``ratio`` times the requests plus ``slack``.
     """
 
     ratio: float = 0.2
--- a/tests/process/keyspace/test_reconciliation.py
+++ b/tests/process/keyspace/test_reconciliation.py
@@ -643,7 +643,7 @@
     if key == "member/n1" or name == "lease":
         kept = world.state.rows[name, "", key].value
         is_own = key.endswith("n1")
-        assert (kept != value) is is_own, "a node writes its own rows anew"
+        assert (kept != value) is is_own, "a node writes its own rows again"
     assert world.violations == []
 
 
--- a/tests/process/load/test_admission.py
+++ b/tests/process/load/test_admission.py
@@ -145,7 +145,7 @@
     rng = random.Random(7)
     state = build_controller(slots=slots)
     served = {"call": Served(), "order": Served()}
-    came: dict[admission.Ticket, tuple[str, float]] = {}
+    arrived: dict[admission.Ticket, tuple[str, float]] = {}
     events: list[tuple[float, int, str, admission.Ticket | None]] = []
     for number, kind in enumerate(rates):
         events.append((rng.expovariate(rates[kind]), number, kind, None))
@@ -154,7 +154,7 @@
 
     def start(ticket: admission.Ticket, now: float) -> None:
         nonlocal count
-        kind, at = came[ticket]
+        kind, at = arrived[ticket]
         work_s = WORK[kind] * rng.uniform(0.5, 1.5)
         served[kind].took_s.append(now + work_s - at)
         heapq.heappush(events, (now + work_s, count, kind, ticket))
@@ -172,7 +172,7 @@
             if admitted.ticket is None:
                 served[kind].refused += 1
                 continue
-            came[admitted.ticket] = (kind, now)
+            arrived[admitted.ticket] = (kind, now)
             if admitted.verdict is admission.Verdict.RUN:
                 start(admitted.ticket, now)
         for ticket in admission.dequeue(state, now).run:
--- a/tests/process/load/test_lag.py
+++ b/tests/process/load/test_lag.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("slower", [4.0, 5.5, 8.0])
 def test_slow_node_finishes_what_it_begins(slower: float) -> None:
-    """Two slow nodes of Andinaflota held 923 lookups until their deadlines and served few."""
+    """Two slow nodes of Andinaflota held 923 lookups until their deadlines."""
     in_time, late = run_node(slower, bounds=True)
     _, late_without = run_node(slower, bounds=False)
     assert late <= late_without / 4
