--- a/src/ebonyvalve/request/crash.py
+++ b/src/ebonyvalve/request/crash.py
@@ -133,16 +133,16 @@
     node = detector.node
     now = node.now()
     _forget_broken(detector, now)
-    suspects = sorted({fingerprint(call) for _, call in detector.broken_requests})
+    crash_fingerprints = sorted({fingerprint(call) for _, call in detector.broken_requests})
     detector.broken_requests.clear()
-    if not suspects:
+    if not crash_fingerprints:
         return
-    crashes.record_crash(detector.quarantine, suspects, now)
-    decision.record(log, logging.WARNING, "target-crashed", suspects=len(suspects))
+    crashes.record_crash(detector.quarantine, crash_fingerprints, now)
+    decision.record(log, logging.WARNING, "target-crashed", suspects=len(crash_fingerprints))
     # A node that misses the report only counts one crash less.
     service_peers = push.list_service_peers(node)
     await push.send(
-        node, detector.connect, service_peers, CRASH_PATH, msgspec.json.encode(suspects)
+        node, detector.connect, service_peers, CRASH_PATH, msgspec.json.encode(crash_fingerprints)
     )
 
 
@@ -158,6 +158,6 @@
         cause = decoded.failure()
         decision.record(log, logging.ERROR, "push-unreadable", path=CRASH_PATH, cause=cause)
         return False
-    suspects = [identity.Fingerprint(name) for name in decoded.unwrap()]
-    crashes.record_crash(detector.quarantine, suspects, detector.node.now())
+    crash_fingerprints = [identity.Fingerprint(name) for name in decoded.unwrap()]
+    crashes.record_crash(detector.quarantine, crash_fingerprints, detector.node.now())
     return True
--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -21,10 +21,10 @@
 UNKEYED = -1
 # Weight of a refused request in the request rates. Callers that are refused retry, mostly twice.
 REFUSED_WEIGHT = 1 / 3
-# Retry delay while the target has no valid grant; each of the target's heartbeats renews it.
+# Retry delay while the target has no valid grant; the reply to each of its reports renews it.
 GRANT_RETRY_S = 0.2
 # Retry delay while this process stops; it is restarted within about a second.
-RESTART_S = 1.0
+RESTARTING_RETRY_S = 1.0
 # A leaving target gets new requests for its keys until this long before the end of its drain, so
 # that requests in flight can finish.
 HANDOVER_MARGIN_S = 0.4
@@ -187,7 +187,9 @@
     if call.service != node.place.service:
         return Completion(result=outcome.refuse(outcome.Reason.MOVED))
     if node.is_ending:
-        return Completion(result=outcome.refuse(outcome.Reason.STOPPING), retry_after_s=RESTART_S)
+        return Completion(
+            result=outcome.refuse(outcome.Reason.STOPPING), retry_after_s=RESTARTING_RETRY_S
+        )
     if not node_module.is_open(node):
         # A leaving target serves its keys until they have been handed over.
         until = node.closed_at + node.place.drain_s - HANDOVER_MARGIN_S
@@ -235,6 +237,8 @@
         return Completion(result=outcome.refuse(outcome.Reason.NO_OWNER), retry_after_s=0.5)
     span = ledger.find_span(versioned_ledger.ledger, key_slot)
     if span.holder == target.lifetime:
+        # After a restart of the node, the target is known from the table only until its next report.
+        # This process has granted it nothing by then, so the ledger alone decides.
         if target.is_assumed or grant.is_granted(node.grantor, key_slot, node.now()):
             return None
         if span.successor:
@@ -364,8 +368,9 @@
 def _shield_unrepeatable(delivery: Delivery, call: exchange.Call) -> collections.abc.Iterator[None]:
     """Shield a non-idempotent request from cancellation when its caller leaves.
 
-    It may be half done at the target. The attempt still ends at the request's deadline. Other
-    requests run without a scope, which saves its cost.
+    It may be half done at the target. The attempt still ends at the request's deadline. A request
+    whose body is still arriving needs no shield: it is not cancelled when its caller leaves, see
+    :mod:`origin`. Requests without a shield run without a scope, which saves its cost.
     """
     if call.rules is None or call.rules.is_repeatable or not call.is_body_buffered:
         yield
@@ -387,16 +392,16 @@
         scope.shield = False
 
 
-def _record_untrusted(call: exchange.Call, answer: dispatch.Attempt) -> None:
+def _record_untrusted(call: exchange.Call, finished: dispatch.Attempt) -> None:
     """Log a reply that cannot be shown to be the target's own reply to this request."""
     decision.record(
         log,
         logging.INFO,
         "answer-spoiled",
         id=call.request_id,
-        status=answer.status,
-        names=answer.reply_correlation,
-        first=answer.is_first,
+        status=finished.status,
+        names=finished.reply_correlation,
+        first=finished.is_first,
     )
 
 
--- a/src/ebonyvalve/request/handler.py
+++ b/src/ebonyvalve/request/handler.py
@@ -330,7 +330,7 @@
         and progress.service.is_keyed
         and not completion.is_body_open
     ):
-        return await _wait(here, call, changed, at_most_s=RECHECK_INTERVAL_S)
+        return await _wait(here, call, changed, max_wait_s=RECHECK_INTERVAL_S)
     others = hedge.list_others(here, progress.service, progress.tried)
     if not others:
         progress.tried.clear()
@@ -353,13 +353,13 @@
 
 
 async def _wait(
-    here: site.Site, call: exchange.Call, changed: trio.Event, *, at_most_s: float | None = None
+    here: site.Site, call: exchange.Call, changed: trio.Event, *, max_wait_s: float | None = None
 ) -> bool:
     """Wait for a change of the node's state; return whether the deadline allows an attempt."""
     remaining_s = call.deadline_at_s - here.now()
     if remaining_s <= 0:
         return False
-    wait_s = remaining_s if at_most_s is None else min(at_most_s, remaining_s)
+    wait_s = remaining_s if max_wait_s is None else min(max_wait_s, remaining_s)
     with trio.move_on_after(wait_s):
         await changed.wait()
     return here.now() < call.deadline_at_s
--- a/src/ebonyvalve/request/origin.py
+++ b/src/ebonyvalve/request/origin.py
@@ -29,6 +29,8 @@
 # Base delay before a request is sent again for a key that moved. A changed ledger reaches all nodes
 # within a few round trips to the store.
 MOVED_RETRY_DELAY_S = 0.03
+# Bounds all attempts for one request, including refused ones. The route's ``attempts`` bounds only
+# those that may have run.
 MAX_ATTEMPTS = 6
 # The request reached a target, which did not run it. Another attempt is charged to the retry budget
 # like any other: otherwise, targets that shed load would get a multiple of the load they can bear.
@@ -51,8 +53,10 @@
         outcome.Reason.BEHIND,
     }
 )
-# Retry delay announced to callers, in which a node can detect that it has just lost a target.
+# Retry delay in seconds announced to callers. It gives a node time to detect that it has just lost
+# a target.
 RETRY_AFTER_S = 0.4
+# Total spread of the delay, as a fraction: callers are told 0.7 to 1.3 times the delay.
 RETRY_JITTER = 0.6
 # Tells callers that a request has not run and will not run later.
 NOT_RUN_STATUS = 503
@@ -253,7 +257,10 @@
 
 
 def _has_time(origin: Origin, call: exchange.Call, name: identity.NodeId) -> bool:
-    """Return whether a target can be expected to answer before the request's deadline."""
+    """Return whether another attempt can be expected to be answered before the deadline.
+
+    This is judged by the work time of the node ``name``, which was tried last.
+    """
     view = node_module.read_view(origin.node, name)
     return origin.node.now() + view.work_s < call.deadline_at_s
 
@@ -280,6 +287,7 @@
     }
     now = node.now()
     views = {name: node_module.read_view(node, name) for name in candidates}
+    # A request is sent again only if some node that was not tried yet is not being avoided.
     if excluded and all(view.avoid_until > now for view in views.values()):
         return None
     same_zone = {
@@ -408,26 +416,26 @@
         completion = delivery.Completion(
             result=outcome.refuse(outcome.Reason.BEHIND), retry_after_s=RETRY_AFTER_S
         )
-        return await _refuse_hop(origin, call, caller, completion, started_at)
+        return await _report_hop_failure(origin, call, caller, completion, started_at)
     hop_caller = dataclasses.replace(caller, reply=reply)
     completion, is_caller_gone = await _run_cancellable(
         node, call, caller, functools.partial(delivery.run, origin.delivery, call, hop_caller)
     )
     is_caller_gone = is_caller_gone or completion.result.reason is outcome.Reason.CALLER_GONE
     if not is_caller_gone and not caller.is_reply_begun():
-        return await _refuse_hop(origin, call, caller, completion, started_at)
+        return await _report_hop_failure(origin, call, caller, completion, started_at)
     _record(origin, call, completion.result, started_at, [node.place.node])
     return completion.result
 
 
-async def _refuse_hop(
+async def _report_hop_failure(
     origin: Origin,
     call: exchange.Call,
     caller: exchange.Caller,
     completion: delivery.Completion,
     started_at: float,
 ) -> outcome.Outcome:
-    """Refuse a request of another node, with the reason and this node's load in the headers."""
+    """Tell another node why its request got no reply: verdict, reason and this node's load."""
     node = origin.node
     refusal = f"{completion.result.verdict.value}:{completion.result.reason.value}"
     extra_headers = [
@@ -467,6 +475,7 @@
         # Whatever kept the request from running, callers rely on this status for "not run".
         status = NOT_RUN_STATUS
     if result.verdict is not outcome.Verdict.NOT_RUN and status == NOT_RUN_STATUS:
+        # Callers would take the status for "not run".
         status = 502
     if await caller.reply(status, headers) and await caller.write(body):
         await caller.finish()
@@ -486,17 +495,17 @@
     ``is_reply_begun`` says whether a part of a target's reply had been sent to the caller.
     """
     node = origin.node
-    is_answered = result.verdict is outcome.Verdict.ANSWERED
+    is_success = result.verdict is outcome.Verdict.ANSWERED
     elapsed_s = node.now() - started_at
     counters.count(
         node.request_counters, call.service, result.verdict.value, result.reason.value, elapsed_s
     )
-    if is_answered and not log.isEnabledFor(logging.DEBUG):
+    if is_success and not log.isEnabledFor(logging.DEBUG):
         return
     versioned_ledger = node.ledgers.get(call.service)
     decision.record(
         log,
-        logging.DEBUG if is_answered else logging.INFO,
+        logging.DEBUG if is_success else logging.INFO,
         "request",
         id=call.request_id,
         service=call.service,
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -22,7 +22,8 @@
 PING_PATH = "/ebonyvalve/ping/"
 ANSWERED_STATUS = 204
 OTHER_NODE_STATUS = 421
-# Most replies come within this time; a node that owes one for longer is pinged.
+# Most replies come within this time. A node that owes one and has sent no bytes for longer is
+# pinged.
 SUSPECT_AFTER_S = 0.4
 # A node that is short of processor time still answers a ping within this time; one that does not is
 # as good as lost to its callers.
@@ -72,7 +73,8 @@
     members = monitor.node.members
     for name in [name for name in monitor.unreachable if name not in members]:
         del monitor.unreachable[name]
-    doubtful = set(
+    # The silence timeout is SILENT_FACTOR times p99_s, so this sets it to SUSPECT_AFTER_S.
+    unresponsive = set(
         pool.find_unresponsive(monitor.peers, p99_s=SUSPECT_AFTER_S / liveness.SILENT_FACTOR)
     )
     trusted_since = monitor.node.now() - TRUST_AFTER_PING_S
@@ -80,7 +82,7 @@
         name: peer.address
         for name, peer in members.items()
         if name in monitor.unreachable
-        or (peer.address in doubtful and monitor.answered_at.get(name, 0.0) < trusted_since)
+        or (peer.address in unresponsive and monitor.answered_at.get(name, 0.0) < trusted_since)
     }
 
 
