--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -237,8 +237,8 @@
         return Completion(result=outcome.refuse(outcome.Reason.NO_OWNER), retry_after_s=0.5)
     span = ledger.find_span(versioned_ledger.ledger, key_slot)
     if span.holder == target.lifetime:
-        # After a restart of the node, the target is known from the table only until its next report.
-        # This process has granted it nothing by then, so the ledger alone decides.
+        # After a restart of the node, the target is known from the table only until its next
+        # report. This process has granted it nothing by then, so the ledger alone decides.
         if target.is_assumed or grant.is_granted(node.grantor, key_slot, node.now()):
             return None
         if span.successor:
