--- a/src/ebonyvalve/connection/channel.py
+++ b/src/ebonyvalve/connection/channel.py
@@ -248,7 +248,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
-class Session:
+class ServerStream:
     """The answering end of a stream; ``running`` is the number of handlers running for it."""
 
     stream: grpclib.protocol.Stream
@@ -266,7 +266,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
-class Link:
+class ClientStream:
     """The requesting end of a stream to a peer, with the requests that wait for replies.
 
     ``is_retired`` streams get no further requests and close after the last reply.
@@ -286,8 +286,8 @@
     """State of one address to which requests are sent."""
 
     address: identity.Address
-    link: Link | None = None
-    links: set[Link] = dataclasses.field(default_factory=set)
+    client_stream: ClientStream | None = None
+    client_streams: set[ClientStream] = dataclasses.field(default_factory=set)
     opening: trio.Event | None = None
     failures: int = 0
     retry_at_s: float = 0.0
@@ -308,7 +308,7 @@
     tls: ssl.SSLContext | None
     random: random.Random
     peers: dict[identity.Address, Peer] = dataclasses.field(default_factory=dict)
-    sessions: set[Session] = dataclasses.field(default_factory=set)
+    server_streams: set[ServerStream] = dataclasses.field(default_factory=set)
     running: int = 0
 
 
@@ -451,14 +451,17 @@
     return host, int(port)
 
 
-def is_silent(link: Link, *, now_s: float, after_s: float) -> bool:
+def is_silent(client_stream: ClientStream, *, now_s: float, after_s: float) -> bool:
     """Return whether a stream has delivered nothing for a time although a request waits.
 
-    :param link: the stream.
+    :param client_stream: the stream.
     :param now_s: the current time in seconds.
     :param after_s: how long a request may wait, in seconds.
     """
-    return link.unanswered_since_s is not None and now_s - link.unanswered_since_s >= after_s
+    return (
+        client_stream.unanswered_since_s is not None
+        and now_s - client_stream.unanswered_since_s >= after_s
+    )
 
 
 def _load_tls(files: TlsFiles, protocol: int) -> ssl.SSLContext:
@@ -495,26 +498,26 @@
         return result.Failure(peer.PeerFailure.TOO_LARGE)
     remote.in_flight += 1
     try:
-        link = await _find_link(state, remote)
-        if link is None:
+        client_stream = await _find_client_stream(state, remote)
+        if client_stream is None:
             return result.Failure(peer.PeerFailure.REFUSED)
-        return await _exchange(link, sequence, payload)
+        return await _exchange(client_stream, sequence, payload)
     finally:
         remote.in_flight -= 1
 
 
-async def _exchange(link: Link, sequence: int, payload: bytes) -> peer.AskResult:
+async def _exchange(client_stream: ClientStream, sequence: int, payload: bytes) -> peer.AskResult:
     waiter = Waiter()
-    link.waiters[sequence] = waiter
-    if link.unanswered_since_s is None:
-        link.unanswered_since_s = trio.current_time()
-    _post(link.outbox, payload)
+    client_stream.waiters[sequence] = waiter
+    if client_stream.unanswered_since_s is None:
+        client_stream.unanswered_since_s = trio.current_time()
+    _post(client_stream.outbox, payload)
     try:
         await waiter.is_done.wait()
     finally:
-        link.waiters.pop(sequence, None)
-        if link.is_retired and not link.waiters:
-            link.scope.cancel()
+        client_stream.waiters.pop(sequence, None)
+        if client_stream.is_retired and not client_stream.waiters:
+            client_stream.scope.cancel()
     return waiter.reply
 
 
@@ -537,66 +540,68 @@
 
 
 def _close_peer(remote: Peer) -> None:
-    for link in list(remote.links):
-        link.scope.cancel()
+    for client_stream in list(remote.client_streams):
+        client_stream.scope.cancel()
 
 
-async def _find_link(state: State, remote: Peer) -> Link | None:
+async def _find_client_stream(state: State, remote: Peer) -> ClientStream | None:
     _retire_silent(state, remote)
-    if remote.link is not None:
-        return remote.link
+    if remote.client_stream is not None:
+        return remote.client_stream
     if remote.opening is None:
         if trio.current_time() < remote.retry_at_s:
             return None
         remote.opening = trio.Event()
-        state.nursery.start_soon(_run_link, state, remote, remote.opening)
+        state.nursery.start_soon(_run_client_stream, state, remote, remote.opening)
     await remote.opening.wait()
-    return remote.link
+    return remote.client_stream
 
 
 def _retire_silent(state: State, remote: Peer) -> None:
-    link = remote.link
+    client_stream = remote.client_stream
     after_s = min(state.limits.silent_s * 2**remote.silent_streams, state.limits.silent_max_s)
-    if link is None or not is_silent(link, now_s=trio.current_time(), after_s=after_s):
+    if client_stream is None or not is_silent(
+        client_stream, now_s=trio.current_time(), after_s=after_s
+    ):
         return
     log.info("stream to %s delivers nothing for %.3f s; opening another", remote.address, after_s)
     remote.silent_streams = min(remote.silent_streams + 1, 16)
-    remote.link = None
+    remote.client_stream = None
     # The old stream stays open for replies that the peer is slow to send.
-    link.is_retired = True
-    if not link.waiters:
-        link.scope.cancel()
+    client_stream.is_retired = True
+    if not client_stream.waiters:
+        client_stream.scope.cancel()
 
 
-async def _run_link(state: State, remote: Peer, opening: trio.Event) -> None:
-    link = Link()
-    remote.links.add(link)
-    link.scope.deadline = trio.current_time() + state.limits.connect_s
+async def _run_client_stream(state: State, remote: Peer, opening: trio.Event) -> None:
+    client_stream = ClientStream()
+    remote.client_streams.add(client_stream)
+    client_stream.scope.deadline = trio.current_time() + state.limits.connect_s
 
     def report_open() -> None:
-        link.scope.deadline = float("inf")
-        remote.link = link
+        client_stream.scope.deadline = float("inf")
+        remote.client_stream = client_stream
         remote.opening = None
         remote.failures = 0
         opening.set()
 
-    with link.scope:
+    with client_stream.scope:
         try:
             await trio_asyncio.aio_as_trio(_carry_requests, loop=state.loop)(
-                state, remote, link, report_open
+                state, remote, client_stream, report_open
             )
         # grpclib and h2 raise many kinds of errors for invalid input; each ends only its stream.
         except (Exception, asyncio.CancelledError) as error:
             log.info("stream to %s ended: %r", remote.address, error)
-    remote.links.discard(link)
-    link.outbox.is_closed = True
-    if remote.link is link:
-        remote.link = None
+    remote.client_streams.discard(client_stream)
+    client_stream.outbox.is_closed = True
+    if remote.client_stream is client_stream:
+        remote.client_stream = None
     if remote.opening is opening:
         _record_failed_open(state, remote)
         remote.opening = None
         opening.set()
-    _resolve_all(link, peer.PeerFailure.CLOSED)
+    _resolve_all(client_stream, peer.PeerFailure.CLOSED)
 
 
 def _record_failed_open(state: State, remote: Peer) -> None:
@@ -607,7 +612,10 @@
 
 
 async def _carry_requests(
-    state: State, remote: Peer, link: Link, report_open: collections.abc.Callable[[], None]
+    state: State,
+    remote: Peer,
+    client_stream: ClientStream,
+    report_open: collections.abc.Callable[[], None],
 ) -> None:
     endpoint = split_address(remote.address)
     if endpoint is None:
@@ -621,9 +629,9 @@
 
             def deliver(payload: bytes) -> None:
                 remote.silent_streams = 0
-                _deliver(link, payload)
+                _deliver(client_stream, payload)
 
-            async with _writing(link.outbox, stream._stream):
+            async with _writing(client_stream.outbox, stream._stream):
                 ended = _receive(stream._stream, deliver, state.limits.message_bytes)
                 report_open()
                 # grpclib notifies a reader of a lost stream only inside this wrapper.
@@ -631,13 +639,13 @@
                     await ended
 
 
-def _deliver(link: Link, payload: bytes) -> None:
+def _deliver(client_stream: ClientStream, payload: bytes) -> None:
     envelope = decode(payload)
     if envelope is None:
-        _resolve_all(link, peer.PeerFailure.MALFORMED)
+        _resolve_all(client_stream, peer.PeerFailure.MALFORMED)
         raise ValueError("payload without a sequence number")
-    waiter = link.waiters.pop(envelope.sequence, None)
-    link.unanswered_since_s = trio.current_time() if link.waiters else None
+    waiter = client_stream.waiters.pop(envelope.sequence, None)
+    client_stream.unanswered_since_s = trio.current_time() if client_stream.waiters else None
     # There is no waiter if the request has timed out.
     if waiter is not None:
         if envelope.body is not None:
@@ -651,9 +659,9 @@
         waiter.is_done.set()
 
 
-def _resolve_all(link: Link, failure: peer.PeerFailure) -> None:
-    waiters = list(link.waiters.values())
-    link.waiters.clear()
+def _resolve_all(client_stream: ClientStream, failure: peer.PeerFailure) -> None:
+    waiters = list(client_stream.waiters.values())
+    client_stream.waiters.clear()
     for waiter in waiters:
         waiter.reply = result.Failure(failure)
         waiter.is_done.set()
@@ -711,14 +719,14 @@
     nursery: trio.Nursery,
     stream: grpclib.server.Stream[bytes, bytes],
 ) -> None:
-    if len(state.sessions) >= state.limits.accepted_streams:
+    if len(state.server_streams) >= state.limits.accepted_streams:
         raise grpclib.GRPCError(grpclib.Status.RESOURCE_EXHAUSTED, "too many streams")
-    session = Session(stream=stream._stream, last_request_at_s=trio.current_time())
-    state.sessions.add(session)
+    server_stream = ServerStream(stream=stream._stream, last_request_at_s=trio.current_time())
+    state.server_streams.add(server_stream)
     try:
         await stream.send_initial_metadata()
-        async with _writing(session.outbox, stream._stream):
-            accept = functools.partial(_accept_request, state, handle, nursery, session)
+        async with _writing(server_stream.outbox, stream._stream):
+            accept = functools.partial(_accept_request, state, handle, nursery, server_stream)
             await _receive(stream._stream, accept, state.limits.message_bytes)
     except asyncio.CancelledError:
         # grpclib leaves the connection open when the server closes, so the peer would keep waiting.
@@ -730,8 +738,8 @@
         log.info("stream from %s ended: %r", stream.peer.addr(), error)
         raise grpclib.GRPCError(grpclib.Status.ABORTED, "stream failed") from error
     finally:
-        session.outbox.is_closed = True
-        state.sessions.discard(session)
+        server_stream.outbox.is_closed = True
+        state.server_streams.discard(server_stream)
 
 
 async def _close_unused(state: State) -> None:
@@ -739,32 +747,36 @@
     while True:
         await trio.sleep(state.limits.idle_s)
         now_s = trio.current_time()
-        for session in list(state.sessions):
-            if session.running == 0 and now_s - session.last_request_at_s >= idle_s:
-                session.stream.connection.close()
+        for server_stream in list(state.server_streams):
+            if server_stream.running == 0 and now_s - server_stream.last_request_at_s >= idle_s:
+                server_stream.stream.connection.close()
 
 
 def _accept_request(
-    state: State, handle: peer.Handle, nursery: trio.Nursery, session: Session, payload: bytes
+    state: State,
+    handle: peer.Handle,
+    nursery: trio.Nursery,
+    server_stream: ServerStream,
+    payload: bytes,
 ) -> None:
     limits = state.limits
-    session.last_request_at_s = trio.current_time()
-    if len(session.outbox.payloads) > limits.in_flight:
+    server_stream.last_request_at_s = trio.current_time()
+    if len(server_stream.outbox.payloads) > limits.in_flight:
         raise ValueError("peer does not read its replies")
     request = decode(payload)
     if request is None:
         raise ValueError("payload without a sequence number")
     if request.body is None:
-        _post(session.outbox, encode(request))
+        _post(server_stream.outbox, encode(request))
     # Requests are not queued while handlers are busy: a handler may outlast the timeout of its
     # request, and later requests have to be refused at once.
-    elif session.running >= limits.in_flight or state.running >= limits.running:
+    elif server_stream.running >= limits.in_flight or state.running >= limits.running:
         refusal = Envelope(sequence=request.sequence, body=None, status=Status.OVERLOADED)
-        _post(session.outbox, encode(refusal))
+        _post(server_stream.outbox, encode(refusal))
     else:
-        session.running += 1
+        server_stream.running += 1
         state.running += 1
-        nursery.start_soon(_answer, state, handle, request.sequence, request.body, session)
+        nursery.start_soon(_answer, state, handle, request.sequence, request.body, server_stream)
 
 
 async def _answer(
@@ -772,7 +784,7 @@
     handle: peer.Handle,
     sequence: int,
     request: message.Message,
-    session: Session,
+    server_stream: ServerStream,
 ) -> None:
     try:
         reply = await handle(request)
@@ -783,14 +795,14 @@
         log.exception("handler failed on %s", type(request).__name__)
         reply = message.Refused(term=identity.Term(0), reason="internal error")
     finally:
-        session.running -= 1
+        server_stream.running -= 1
         state.running -= 1
     payload = encode(Envelope(sequence=sequence, body=reply))
     if len(payload) > state.limits.message_bytes:
         log.error("reply %s is too large: %d bytes", type(reply).__name__, len(payload))
         reply = message.Refused(term=identity.Term(0), reason="reply too large")
         payload = encode(Envelope(sequence=sequence, body=reply))
-    _post(session.outbox, payload)
+    _post(server_stream.outbox, payload)
 
 
 def _receive(
--- a/src/ebonyvalve/connection/liveness.py
+++ b/src/ebonyvalve/connection/liveness.py
@@ -1,6 +1,6 @@
 """Policy of the connection pool: when to reuse, open, wait for or close connections.
 
-It also tells silent connections from a target that has stopped.
+It also distinguishes silent connections from a target that has stopped.
 """
 
 import collections.abc
@@ -35,7 +35,8 @@
     IDLE = "idle"
     # Bytes are expected from the target.
     AWAITING = "awaiting"
-    # The caller has to read or send next, so that missing bytes say nothing about the connection.
+    # The caller has to read or send next, or the connection was acquired and nothing has been sent
+    # yet. Missing bytes say nothing about the connection.
     HELD_BY_CALLER = "held-by-caller"
 
 
@@ -176,7 +177,8 @@
         connection_id
         for connection_id, connection in connections.items()
         if connection.phase is Phase.AWAITING and _is_overdue(connection, now, p99_s)
-        # Bytes that arrived elsewhere before this connection fell silent say nothing about it.
+        # Bytes that arrived elsewhere count only if they came at least half the timeout after this
+        # connection's last activity; earlier ones say nothing about it.
         and latest_progress_at
         > _find_last_activity(connection) + compute_silence_timeout(p99_s) / 2
     ]
@@ -244,8 +246,10 @@
 
 
 def _find_last_activity(connection: Connection) -> float:
+    """Return when bytes last arrived or the target was last expected to send next."""
     return max(connection.awaiting_since, connection.progress_at)
 
 
 def _find_last_use(connection: Connection) -> float:
+    """Return when bytes last arrived, or when the connection was opened if none have."""
     return max(connection.opened_at, connection.progress_at)
--- a/src/ebonyvalve/connection/pool.py
+++ b/src/ebonyvalve/connection/pool.py
@@ -43,8 +43,8 @@
     may be sent again, ``has_response_head`` that the head of its response has arrived, and
     ``is_reply_begun`` that a part of the response was passed on to the caller. ``abort_reason`` is
     set if the node ended the request before its response was complete. ``refused_ids`` are the ids
-    of requests that were refused on the connection. ``must_close`` forbids reuse: another response
-    could not be told apart from a repetition of an earlier one.
+    of requests that were refused on the connection. ``must_close`` forbids reuse: a further
+    response might be a repetition of an earlier one, or ``refused_ids`` is full.
     """
 
     connection_id: liveness.ConnectionId
@@ -174,7 +174,7 @@
     :param pool: the pool.
     :param pooled: from :func:`acquire`.
     """
-    if pooled.conn is None or pooled.must_close or not wire.is_drained(pooled.conn):
+    if pooled.conn is None or pooled.must_close or not wire.has_no_trailing_data(pooled.conn):
         return False
     if not wire.recycle(pooled.conn):
         return False
@@ -293,7 +293,7 @@
 
 
 def abort(
-    pool: Pool, address: identity.Address, *, cutoff: float | None, lenient_cutoff: float | None
+    pool: Pool, address: identity.Address, *, cutoff: float | None, cautious_cutoff: float | None
 ) -> None:
     """Abort the requests that wait for bytes from an address found unreachable.
 
@@ -304,12 +304,12 @@
     :param address: the remote address.
     :param cutoff: seconds on the node's clock; requests that were sent or received bytes after it
         are not aborted. ``None`` aborts none of them.
-    :param lenient_cutoff: the same for requests that may not be sent again and for those whose
-        response has started to arrive.
+    :param cautious_cutoff: the same for requests that may not be sent again and for those whose
+        response has started to arrive. It should not be later: aborting them loses more.
     """
     for pooled in pool.connections.get(address, {}).values():
-        is_lenient = pooled.has_response_head or not pooled.is_repeatable
-        effective_cutoff = lenient_cutoff if is_lenient else cutoff
+        needs_caution = pooled.has_response_head or not pooled.is_repeatable
+        effective_cutoff = cautious_cutoff if needs_caution else cutoff
         if effective_cutoff is None or pooled.is_reply_begun():
             continue
         if liveness.is_silent(pooled.state, effective_cutoff):
--- a/src/ebonyvalve/connection/wire.py
+++ b/src/ebonyvalve/connection/wire.py
@@ -22,7 +22,10 @@
 
 
 class WireFailure(enum.Enum):
-    """Why a message could not be read or written."""
+    """Why a message could not be read or written.
+
+    No function of this module returns ``TIMEOUT``; its callers bound the time themselves.
+    """
 
     CLOSED = "closed"
     MALFORMED = "malformed"
@@ -73,7 +76,8 @@
 async def receive(wire: Wire) -> EventResult:
     """Return the next event of the connection.
 
-    If the peer closes in the middle of a message, the result is :attr:`WireFailure.CLOSED`.
+    The result is :attr:`WireFailure.CLOSED` if the peer closes in the middle of a message or the
+    connection is lost, and :attr:`WireFailure.MALFORMED` for invalid HTTP.
 
     :param wire: the connection.
     """
@@ -142,10 +146,10 @@
     """
     stream = wire.stream
     is_readable = isinstance(stream, trio.SocketStream) and stream.socket.is_readable()
-    return not is_readable and is_drained(wire)
+    return not is_readable and has_no_trailing_data(wire)
 
 
-def is_drained(wire: Wire) -> bool:
+def has_no_trailing_data(wire: Wire) -> bool:
     """Return whether no bytes and no close follow the message that was read last.
 
     :param wire: a client side on which one exchange has ended.
@@ -179,6 +183,10 @@
 async def send(wire: Wire, *events: h11.Event) -> SendResult:
     """Write events in one call of the stream.
 
+    The result is :attr:`WireFailure.CLOSED` if the connection is closed or an earlier write was
+    cancelled, and :attr:`WireFailure.MALFORMED` if an event is not allowed in the connection's
+    state.
+
     :param wire: the connection.
     :param events: the events to write, in order.
     """
@@ -231,11 +239,11 @@
 
     :param wire: a server side on which the head of the request was read.
     """
-    if wire.http.their_state is h11.SEND_BODY or not await drain(wire):
+    if wire.http.their_state is h11.SEND_BODY or not await read_until_closed(wire):
         await _wait_for_hangup(wire)
 
 
-async def drain(wire: Wire) -> bool:
+async def read_until_closed(wire: Wire) -> bool:
     """Read until the peer closes the connection; return whether it did.
 
     The result is ``False`` once more than ``MAX_HEAD_BYTES`` are buffered.
@@ -288,7 +296,7 @@
     return False
 
 
-def expect_another(wire: Wire) -> bool:
+def prepare_another_response(wire: Wire) -> bool:
     """Prepare a client side for another response to the request that it has sent.
 
     The response that was read last belonged to an earlier request. Returns whether the connection
--- a/src/ebonyvalve/request/dispatch.py
+++ b/src/ebonyvalve/request/dispatch.py
@@ -280,7 +280,7 @@
                 return event
             connection.must_close = True
             await _skip_answer(conn)
-            if not wire.expect_another(conn):
+            if not wire.prepare_another_response(conn):
                 return None
             continue
         if not isinstance(event, h11.InformationalResponse):
--- a/src/ebonyvalve/request/front.py
+++ b/src/ebonyvalve/request/front.py
@@ -352,7 +352,7 @@
         head = h11.Response(status_code=refusal.status, headers=headers)
         await wire.send(conn, head, h11.Data(data=body), h11.EndOfMessage())
         with trio.move_on_after(LINGER_S):
-            await wire.drain(conn)
+            await wire.read_until_closed(conn)
 
 
 def build_outcome_headers(result_: outcome.Outcome) -> exchange.Headers:
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -163,10 +163,10 @@
         return
     unreachable_s = record_unreachable(monitor, name, "no answer to a ping")
     now = monitor.node.now()
-    lenient_cutoff = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
+    cautious_cutoff = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
     # A stopping node aborts no request early: little time remains to retry it elsewhere.
-    cutoff = lenient_cutoff if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
-    pool.abort(monitor.peers, address, cutoff=cutoff, lenient_cutoff=lenient_cutoff)
+    cutoff = cautious_cutoff if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
+    pool.abort(monitor.peers, address, cutoff=cutoff, cautious_cutoff=cautious_cutoff)
 
 
 def record_unreachable(monitor: Monitor, name: identity.NodeId, reason: str) -> float:
--- a/tests/connection/test_pool_silence.py
+++ b/tests/connection/test_pool_silence.py
@@ -11,7 +11,7 @@
 ADDRESS = identity.Address("10.0.0.2:1")
 
 
-async def ask(state: pool.Pool) -> pool.PooledConnection:
+async def start_request(state: pool.Pool) -> pool.PooledConnection:
     pooled = (await pool.acquire(state, ADDRESS, p99_s=None)).unwrap()
     liveness.record_awaiting(pooled.state, trio.current_time())
     return pooled
@@ -34,10 +34,10 @@
         return trio.testing.memory_stream_pair()[0]
 
     state = pool.Pool(connect=connect, now=trio.current_time)
-    slow = await ask(state)
+    slow = await start_request(state)
     slow.is_repeatable = is_repeatable
     slow.is_reply_begun = lambda: is_begun
-    other = await ask(state)
+    other = await start_request(state)
     for _ in range(10):
         await trio.sleep(0.5)
         liveness.record_progress(other.state, trio.current_time())
--- a/tests/connection/test_wire_closed.py
+++ b/tests/connection/test_wire_closed.py
@@ -30,7 +30,7 @@
     assert wire.is_closed_by_peer(conn)
 
 
-async def test_looking_for_a_close_takes_no_bytes_from_who_reads() -> None:
+async def test_check_for_close_consumes_no_bytes() -> None:
     """Guards against a pipelined request that the check for a close loses or reads twice."""
     conn, peer = await open_pair()
     await peer.send_all(SHORT_REQUEST)
@@ -43,7 +43,7 @@
         assert wire.recycle(conn)
 
 
-async def test_many_pipelined_bytes_are_no_close() -> None:
+async def test_pipelined_bytes_are_not_taken_for_a_close() -> None:
     """Guards against taking many pipelined bytes for a close.
 
     A request ended without an answer because its caller had already sent the next ones.
@@ -75,6 +75,6 @@
     await peer.aclose()
     with trio.fail_after(1.0):
         await wire.wait_closed(conn)
-    # The body is left for the task that forwards it at the pace of the target.
+    # The body is left for the task that forwards it as fast as the target reads.
     assert conn.http.trailing_data[0] == b""
     assert isinstance((await wire.receive(conn)).unwrap(), h11.Data)
--- a/tests/request/test_attempt.py
+++ b/tests/request/test_attempt.py
@@ -18,7 +18,7 @@
 
 
 async def give_up(state: pool.Pool) -> None:
-    pool.abort(state, ADDRESS, cutoff=trio.current_time(), lenient_cutoff=trio.current_time())
+    pool.abort(state, ADDRESS, cutoff=trio.current_time(), cautious_cutoff=trio.current_time())
 
 
 async def wait(state: pool.Pool) -> None:
