--- a/src/ebonyvalve/platform/gossip.py
+++ b/src/ebonyvalve/platform/gossip.py
@@ -147,6 +147,7 @@
             if source is not None and source not in pulling and len(pulling) < MAX_CONCURRENT_PULLS:
                 nursery.start_soon(pull, source)
             await node_module.pause(node, PULL_INTERVAL_S * (1 + node.draw()))
+            # Unless the version is advertised again, the next round asks a random node.
             node.advertised_by = None
     if node.operator_version > before:
         # The store need not continue to send the rows that have arrived.
--- a/src/ebonyvalve/platform/operator.py
+++ b/src/ebonyvalve/platform/operator.py
@@ -18,6 +18,7 @@
 OPERATOR_TABLE = table.TableName("op")
 CONFIG_KEY = "config"
 EVACUATE_PREFIX = "evacuate/"
+# Longest duration of one long poll, in seconds.
 FOLLOW_WAIT_S = 10.0
 RETRY_S = 0.25
 # The store answers all nodes that follow it within this many seconds of each other.
@@ -29,7 +30,7 @@
 async def follow(
     node: node_module.Node, current: traffic.CurrentTraffic, store: table.Store
 ) -> None:
-    """Apply the operator's rows from the store as they change, until cancelled.
+    """Apply the operator's rows from the store as they change, by long polling, until cancelled.
 
     :param node: the node.
     :param current: gets the configuration.
--- a/src/ebonyvalve/platform/store.py
+++ b/src/ebonyvalve/platform/store.py
@@ -20,9 +20,10 @@
 
 log = logging.getLogger(__name__)
 
-# A call takes 4 ms, or 50 times as long when the store is slow.
+# Timeout of a call, which takes 4 ms, or 200 ms when the store is slow.
 CALL_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 0.5
+# Added to the wait of a long poll for its timeout.
 FOLLOW_SLACK_S = 1.5
 PAGE_ROWS = 500
 # Limit for one table, which is 100,000 rows.
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize(("odd", "value"), ODD_ROWS.values(), ids=ODD_ROWS)
-def test_odd_row_of_a_page_costs_itself(
+def test_invalid_row_does_not_affect_the_page(
     odd: bytes, value: bytes | None, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against losing a whole page because of one invalid row.
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize("now_s", ["1e400", "-1", "null", '"3"', "[" * 5000 + "]" * 5000])
-def test_odd_clock_of_a_page_costs_itself(now_s: str) -> None:
+def test_invalid_clock_does_not_affect_the_rows(now_s: str) -> None:
     """Guards against refusing valid rows because of an invalid clock."""
     client = build_client()
     read = store._decode_rows(client, build_page(msgspec.json.encode(GOOD_ROW), now_s=now_s))
@@ -241,7 +241,7 @@
     assert isinstance(store._decode_rows(client, answer), table.Rows | table.Failure)
 
 
-async def test_unasked_answer_of_the_store_is_not_taken_for_the_next(
+async def test_unsolicited_answer_is_not_taken_for_the_next(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against taking a second answer on a connection for the answer to the next call."""
