--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -22,7 +22,8 @@
 PING_PATH = "/ebonyvalve/ping/"
 ANSWERED_STATUS = 204
 OTHER_NODE_STATUS = 421
-# Most replies come within this time; a node that owes one for longer is pinged.
+# Most replies come within this time. A node that owes one and has sent no bytes for longer is
+# pinged.
 SUSPECT_AFTER_S = 0.4
 # A node that is short of processor time still answers a ping within this time; one that does not is
 # as good as lost to its callers.
@@ -72,7 +73,8 @@
     members = monitor.node.members
     for name in [name for name in monitor.unreachable if name not in members]:
         del monitor.unreachable[name]
-    doubtful = set(
+    # The silence timeout is SILENT_FACTOR times p99_s, so this sets it to SUSPECT_AFTER_S.
+    unresponsive = set(
         pool.find_unresponsive(monitor.peers, p99_s=SUSPECT_AFTER_S / liveness.SILENT_FACTOR)
     )
     trusted_since = monitor.node.now() - TRUST_AFTER_PING_S
@@ -80,7 +82,7 @@
         name: peer.address
         for name, peer in members.items()
         if name in monitor.unreachable
-        or (peer.address in doubtful and monitor.answered_at.get(name, 0.0) < trusted_since)
+        or (peer.address in unresponsive and monitor.answered_at.get(name, 0.0) < trusted_since)
     }
 
 
@@ -161,10 +163,10 @@
         return
     unreachable_s = record_unreachable(monitor, name, "no answer to a ping")
     now = monitor.node.now()
-    lenient_cutoff = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
+    cautious_cutoff = now - ABORT_ALL_AFTER_S if unreachable_s >= ABORT_ALL_AFTER_S else None
     # A stopping node aborts no request early: little time remains to retry it elsewhere.
-    cutoff = lenient_cutoff if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
-    pool.abort(monitor.peers, address, cutoff=cutoff, lenient_cutoff=lenient_cutoff)
+    cutoff = cautious_cutoff if monitor.node.is_stopping else min(sent_at, now - SUSPECT_AFTER_S)
+    pool.abort(monitor.peers, address, cutoff=cutoff, cautious_cutoff=cautious_cutoff)
 
 
 def record_unreachable(monitor: Monitor, name: identity.NodeId, reason: str) -> float:
