--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,7 @@
-"""A mesh of separate processes on loopback, for tests and measurements."""
+"""Starts nodes, targets and the platform stand-in as separate processes on loopback.
+
+Used by tests/test_mesh.py and bench.footprint.
+"""
 
 import collections
 import collections.abc
@@ -19,7 +22,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Mesh:
-    """The processes of the mesh and where they listen."""
+    """The processes of a mesh and the settings of its nodes.
+
+    ``others`` holds the platform stand-in; ``lost`` the indexes of nodes that a test has killed.
+    """
 
     folder: pathlib.Path
     cfgs: list[settings.Settings] = dataclasses.field(default_factory=list)
@@ -29,22 +35,22 @@
     lost: set[int] = dataclasses.field(default_factory=set)
 
 
-def start(*words: str, log: pathlib.Path) -> subprocess.Popen[bytes]:
-    """Start a module of this project as a process of its own.
+def start(*args: str, log: pathlib.Path) -> subprocess.Popen[bytes]:
+    """Start a module of this project in a new process.
 
-    :param words: the module and its arguments.
-    :param log: file for its output.
+    :param args: the module and its arguments.
+    :param log: file for its output and errors.
     """
     with log.open("wb") as output:
-        return subprocess.Popen([sys.executable, "-m", *words], stderr=output, stdout=output)
+        return subprocess.Popen([sys.executable, "-m", *args], stderr=output, stdout=output)
 
 
 @contextlib.contextmanager
 def open_mesh(folder: pathlib.Path, nodes: int = NODES) -> collections.abc.Iterator[Mesh]:
-    """Start a platform stand-in and nodes with their targets; kill them at the end.
+    """Start the platform stand-in and nodes with their targets; kill them all on exit.
 
-    :param folder: for settings, objects and logs.
-    :param nodes: how many nodes.
+    :param folder: directory for settings, objects and logs.
+    :param nodes: number of nodes.
     """
     mesh = Mesh(folder=folder)
     store = demo.pick_addresses(1)[0]
@@ -65,9 +71,9 @@
 
 
 def start_vm(mesh: Mesh, index: int, store: identity.Address) -> None:
-    """Start one node and the target beside it.
+    """Start a node and its target.
 
-    :param mesh: the processes.
+    :param mesh: receives the processes.
     :param index: the node's number, from 0.
     :param store: address of the platform stand-in.
     """
@@ -77,9 +83,9 @@
     mesh.cfgs.append(cfg)
     log = mesh.folder / f"{cfg.node}.log"
     mesh.daemons.append(start("ebonyvalve.process.daemon", str(path), log=log))
-    words = ["--address", demo.pick_addresses(1)[0], "--announce-address", cfg.announce_address]
+    args = ["--address", demo.pick_addresses(1)[0], "--announce-address", cfg.announce_address]
     log = mesh.folder / f"{cfg.node}-target.log"
-    mesh.targets.append(start("ebonyvalve.process.toy", *words, "--node", cfg.node, log=log))
+    mesh.targets.append(start("ebonyvalve.process.toy", *args, "--node", cfg.node, log=log))
 
 
 def write_tool_settings(mesh: Mesh, store: identity.Address) -> None:
@@ -89,12 +95,12 @@
     :param store: address of the platform stand-in.
     """
     nodes = {cfg.node: cfg.operator_address for cfg in mesh.cfgs}
-    body = {"platform_address": store, "nodes": nodes, "author": "test"}
-    (mesh.folder / "tool.json").write_text(json.dumps(body))
+    tool_settings = {"platform_address": store, "nodes": nodes, "author": "test"}
+    (mesh.folder / "tool.json").write_text(json.dumps(tool_settings))
 
 
 def describe_ended(mesh: Mesh) -> str:
-    """Return the last lines of the nodes and targets that have ended without being killed.
+    """Return exit status and end of the log of each node and target that exited without SIGKILL.
 
     :param mesh: the processes.
     """
@@ -108,7 +114,7 @@
 
 
 def write_objects(mesh: Mesh) -> pathlib.Path:
-    """Write the objects of the mesh and return their directory.
+    """Write the configuration objects of the mesh and return their directory.
 
     :param mesh: the processes.
     """
@@ -128,17 +134,17 @@
         "needed_slots": 20,
         "warm_up_s": 1.0,
     }
-    entries: list[dict[str, object]] = [service, *zones]
-    (folder / "all.json").write_text(json.dumps(entries))
+    objects: list[dict[str, object]] = [service, *zones]
+    (folder / "all.json").write_text(json.dumps(objects))
     return folder
 
 
-def run_tool(mesh: Mesh, *words: str) -> subprocess.CompletedProcess[str]:
-    """Run the operators' tool.
+def run_tool(mesh: Mesh, *args: str) -> subprocess.CompletedProcess[str]:
+    """Run the operators' tool and return its exit status and output.
 
     :param mesh: the processes.
-    :param words: the command and its arguments.
+    :param args: the command and its arguments.
     """
-    command = [sys.executable, "-m", "ebonyvalve.tool", *words]
+    command = [sys.executable, "-m", "ebonyvalve.tool", *args]
     command += ["--settings", str(mesh.folder / "tool.json"), "--json"]
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""A mesh of separate processes on loopback: six nodes, six targets and the platform stand-in."""
+"""End-to-end tests of six nodes, six targets and the platform stand-in as separate processes."""
 
 import contextlib
 import functools
@@ -17,13 +17,13 @@
 NODES = processes.NODES
 KEYS = 24
 READY_S = 30.0
-# The design's bound on the time until the keys of a lost node are served again.
+# The design's upper bound on the time until the keys of a lost node are served again.
 RECOVERY_S = 1.0
-SETTLE_S = 2.0
+CONSENT_S = 2.0
 
 
 async def wait_served(mesh: processes.Mesh, live: list[int], within_s: float) -> float:
-    """Return the seconds until every key has been answered through every live node."""
+    """Wait until every live node answers for every key; return the seconds that it took."""
     start_s = time.monotonic()
     missing = {(index, key) for index in live for key in range(KEYS)}
     while missing:
@@ -34,11 +34,14 @@
         )
         async with trio.open_nursery() as nursery:
             for entry in sorted(missing)[:32]:
-                nursery.start_soon(ask, mesh, entry, missing)
+                nursery.start_soon(look_up, mesh, entry, missing)
     return time.monotonic() - start_s
 
 
-async def ask(mesh: processes.Mesh, entry: tuple[int, int], missing: set[tuple[int, int]]) -> None:
+async def look_up(
+    mesh: processes.Mesh, entry: tuple[int, int], missing: set[tuple[int, int]]
+) -> None:
+    """Look up a key through a node; remove the pair from those missing once it is answered."""
     index, key = entry
     path = f"/{demo.SERVICE}/key-{key}/slots"
     with contextlib.suppress(OSError):
@@ -50,7 +53,7 @@
 
 
 async def book(mesh: processes.Mesh, index: int, key: int) -> int:
-    """Write a key through one node and return the count that its owner has now."""
+    """Book on a key through one node, with a one-time token; return the owner's new count."""
     path = f"/{demo.SERVICE}/key-{key}/book"
     address = mesh.cfgs[index].caller_address
     _, headers, _ = await demo.call(address, "POST", path, b"")
@@ -61,7 +64,11 @@
 
 
 async def test_mesh_of_processes(tmp_path: pathlib.Path) -> None:
-    """Guards against a mesh that works in one process only, and against keys that stay lost."""
+    """Guards against faults that appear only between processes, and against keys that stay lost.
+
+    Bookings of one key through different nodes must all reach its one owner, the operators' tool
+    must work, and the keys of three lost VMs must be served again.
+    """
     with processes.open_mesh(tmp_path) as mesh:
         objects = processes.write_objects(mesh)
         published = await retry_publish(mesh, objects)
@@ -79,38 +86,42 @@
 
 
 async def test_keys_of_a_lost_vm_are_served_again_in_time(tmp_path: pathlib.Path) -> None:
-    """Guards against slow recovery."""
+    """Guards against keys that stay unavailable for longer than the bound after the loss of a VM.
+
+    The keys of the lost node are served again only once its lease has expired and the coordinator
+    has assigned them to other nodes.
+    """
     with processes.open_mesh(tmp_path) as mesh:
         published = await retry_publish(mesh, processes.write_objects(mesh))
         assert published.returncode == 0, published.stdout + published.stderr
         await wait_served(mesh, list(range(NODES)), READY_S)
         took_s = [await lose_vm(mesh, index) for index in (2, 4, 1)]
-        print("served again after " + ", ".join(f"{each_s:.2f} s" for each_s in took_s))
-        # Other processes may slow down single rounds on a shared machine. That the bound holds
-        # every time is tested on a substituted clock, in tests/process/test_ownership.py.
+        print("served again after " + ", ".join(f"{round_s:.2f} s" for round_s in took_s))
+        # On a shared machine, other processes may slow down single rounds, so only the fastest is
+        # compared. tests/process/test_ownership.py checks every round on a substituted clock.
         assert min(took_s) <= RECOVERY_S
 
 
 async def lose_vm(mesh: processes.Mesh, index: int) -> float:
-    """Kill a node and its target, and return after how many seconds all keys are served again."""
+    """Kill a node and its target; return the seconds until all keys are served again."""
     mesh.daemons[index].kill()
     mesh.targets[index].kill()
     mesh.lost.add(index)
     live = [number for number in range(NODES) if number not in mesh.lost]
     took_s = await wait_served(mesh, live, READY_S)
-    # The next loss shall meet a settled mesh, with standbys that have consented.
-    await trio.sleep(SETTLE_S)
+    # Before the next loss, the new standbys have to consent to the coordinator.
+    await trio.sleep(CONSENT_S)
     return took_s
 
 
 async def retry_publish(
     mesh: processes.Mesh, objects: pathlib.Path
 ) -> subprocess.CompletedProcess[str]:
-    """Publish once all targets have announced themselves; before that it is refused as unsafe."""
-    words = ["publish", str(objects), "--note", "first"]
+    """Retry publishing, which is refused as unsafe until all targets have announced themselves."""
+    args = ["publish", str(objects), "--note", "first"]
     for _ in range(20):
         published = await trio.to_thread.run_sync(
-            functools.partial(processes.run_tool, mesh, *words)
+            functools.partial(processes.run_tool, mesh, *args)
         )
         if published.returncode == 0:
             return published
@@ -118,26 +129,27 @@
     return published
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
+@pytest.mark.parametrize("stop_signal", [signal.SIGTERM, signal.SIGINT])
 async def test_planned_stop_ends_with_status_0(
-    number: signal.Signals, tmp_path: pathlib.Path
+    stop_signal: signal.Signals, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against a planned stop that needs a kill, or reports a failure."""
+    """Guards against a node that ignores a stop signal or exits with an error status."""
     with processes.open_mesh(tmp_path) as mesh:
         published = await retry_publish(mesh, processes.write_objects(mesh))
         assert published.returncode == 0, published.stdout + published.stderr
         await wait_served(mesh, list(range(NODES)), READY_S)
-        mesh.daemons[1].send_signal(number)
+        mesh.daemons[1].send_signal(stop_signal)
         status = await trio.to_thread.run_sync(lambda: mesh.daemons[1].wait(timeout=20))
         assert status == 0
         await wait_served(mesh, [0, 2, 3, 4, 5], READY_S)
 
 
 def test_picked_addresses_are_not_taken_by_others() -> None:
-    """A node whose port another process had taken served none of its 24 keys.
+    """Guards against a node that cannot listen because another process has taken its port.
 
-    In CI once, in two of four meshes. Ports from the kernel's range for outgoing connections were
-    closed and given out again, to another node or to a connection, before their owner listened.
+    Such a node served none of its 24 keys, in two of four meshes of one CI run. Ports from the
+    kernel's range for outgoing connections were closed and given out again, to another node or to
+    a connection, before their owner listened.
     """
     addresses = [address for _ in range(400) for address in demo.pick_addresses(2)]
     assert len(set(addresses)) == len(addresses)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""Guards the shape of the code: imports of modules only, and layers by life span."""
+"""Checks the structure of the code: module imports only, layers by lifetime, keyword-only state."""
 
 import ast
 import importlib.util
@@ -7,13 +7,14 @@
 import pytest
 
 SOURCE = pathlib.Path(__file__).parent.parent / "src" / "ebonyvalve"
-LIFE_SPANS = ["request", "connection", "version", "process"]
-# These wire the program together from all folders.
-WIRING = {"process/daemon.py", "process/demo.py"}
+LIFETIMES = ["request", "connection", "version", "process"]
+# These modules assemble the program and may import from every folder.
+ASSEMBLY_MODULES = {"process/daemon.py", "process/demo.py"}
 MODULES = sorted(SOURCE.rglob("*.py"))
 
 
 def list_from_imports(path: pathlib.Path) -> list[tuple[str, str]]:
+    """Return the (package, name) pairs of the from-imports of a file."""
     tree = ast.parse(path.read_text())
     return [
         (node.module or "", alias.name)
@@ -24,6 +25,7 @@
 
 
 def is_module(package: str, name: str) -> bool:
+    """Return whether an imported name is a module rather than a member of one."""
     try:
         return importlib.util.find_spec(f"{package}.{name}") is not None
     except ModuleNotFoundError:
@@ -32,36 +34,39 @@
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(SOURCE)))
 def test_imports_are_modules(path: pathlib.Path) -> None:
-    """An imported name hides the module that it comes from."""
+    """Guards against imported functions and classes whose uses do not show their module."""
     names = [f"{package}.{name}" for package, name in list_from_imports(path)]
-    wrong = [
+    violations = [
         f"{package}.{name}"
         for package, name in list_from_imports(path)
         if not is_module(package, name) and (package, name) != ("ebonyvalve", "__version__")
     ]
-    assert not wrong, f"{path.name} imports names: {wrong} (of {names})"
+    assert not violations, f"{path.name} imports names: {violations} (of {names})"
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(SOURCE)))
 def test_longer_life_does_not_import_shorter(path: pathlib.Path) -> None:
-    """State of a request or connection kept alive by the process would leak between requests."""
+    """Guards against long-lived code that depends on state with a shorter lifetime.
+
+    A process that keeps state of a request or connection would leak it into later requests.
+    """
     relative = str(path.relative_to(SOURCE))
-    span = relative.split("/")[0]
-    if span not in LIFE_SPANS or relative in WIRING:
+    lifetime = relative.split("/")[0]
+    if lifetime not in LIFETIMES or relative in ASSEMBLY_MODULES:
         return
-    shorter = LIFE_SPANS[: LIFE_SPANS.index(span)]
-    wrong = [
+    shorter_lived = LIFETIMES[: LIFETIMES.index(lifetime)]
+    violations = [
         package
         for package, _ in list_from_imports(path)
-        for other in shorter
-        if package == f"ebonyvalve.{other}"
+        for layer in shorter_lived
+        if package == f"ebonyvalve.{layer}"
     ]
-    assert not wrong, f"{relative} imports from {wrong}"
+    assert not violations, f"{relative} imports from {violations}"
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(SOURCE)))
 def test_state_classes_take_keywords_only(path: pathlib.Path) -> None:
-    """Positional construction breaks silently when a field is added."""
+    """Guards against positional construction, which breaks silently when a field is added."""
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ClassDef):
             continue
