--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,6 +1,7 @@
-"""Seeded fault schedules against the real node code, with every rule checked.
+"""Runs seeded fault schedules against the simulated mesh and checks every rule.
 
-``python -m bench.faults --schedules 200 --seed 1`` prints violations by kind, which must be none.
+``python -m bench.faults --schedules 200 --seed 1`` prints the number of violations of each
+rule; all must be 0.
 """
 
 import collections
@@ -26,18 +27,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Course:
-    """How long a schedule takes, and its traffic.
+class Scenario:
+    """Timing and traffic of a schedule.
 
-    A fault begins within ``spread_s`` and takes between ``shortest_s`` and ``longest_s``. The
-    defaults leave room for two faults of a few seconds and the recovery from both.
+    After ``warm_up_s`` of traffic, each fault begins within ``max_onset_s`` and lasts between
+    ``min_fault_s`` and ``max_fault_s``; ``recovery_s`` is left for the recovery. The defaults leave
+    room for two faults of a few seconds and the recovery from both.
     """
 
-    warm_s: float = 1.0
-    spread_s: float = 1.0
-    shortest_s: float = 0.7
-    longest_s: float = 4.0
-    calm_s: float = 4.0
+    warm_up_s: float = 1.0
+    max_onset_s: float = 1.0
+    min_fault_s: float = 0.7
+    max_fault_s: float = 4.0
+    recovery_s: float = 4.0
     callers: int = 6
     keys: int = 40
     pause_s: float = 0.1
@@ -45,15 +47,21 @@
     checks_fence: bool = True
 
 
-DEFAULT_COURSE = Course()
-# For tests: a fault outlasts a lease, and recovery has its second.
-SHORT_COURSE = Course(
-    warm_s=0.3, spread_s=0.3, longest_s=1.0, calm_s=1.2, callers=2, keys=20, pause_s=0.06
+DEFAULT_SCENARIO = Scenario()
+# For tests: each fault outlasts a lease, and recovery has more than its bound of 1 s.
+SHORT_SCENARIO = Scenario(
+    warm_up_s=0.3,
+    max_onset_s=0.3,
+    max_fault_s=1.0,
+    recovery_s=1.2,
+    callers=2,
+    keys=20,
+    pause_s=0.06,
 )
 
 
 class Fault(enum.Enum):
-    """One kind of fault."""
+    """The kinds of fault that a schedule injects."""
 
     NODE_LOST = "node-lost"
     NODE_PAUSED = "node-paused"
@@ -78,18 +86,18 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Run:
-    """The state of one schedule."""
+class ScheduleState:
+    """The state of one schedule while it runs."""
 
     world: worlds.World
     load: load.Load
     random: random.Random
-    course: Course
+    scenario: Scenario
     drains: list[history.Drain] = dataclasses.field(default_factory=list)
 
 
-async def lose_node(run: Run, duration_s: float, name: str | None = None) -> None:
-    """Lose a VM with its node and target, and replace it after a while."""
+async def lose_node(run: ScheduleState, duration_s: float, name: str | None = None) -> None:
+    """Kill a node and its target, and start both again at the end."""
     host = pick_host(run) if name is None else run.world.hosts[identity.NodeId(name)]
     worlds.kill_node(run.world, host)
     worlds.kill_target(run.world, host)
@@ -101,16 +109,16 @@
     await worlds.start_node(run.world, host)
 
 
-async def pause_node(run: Run, duration_s: float, name: str | None = None) -> None:
-    """Pause a node past its lease and resume it."""
+async def pause_node(run: ScheduleState, duration_s: float, name: str | None = None) -> None:
+    """Pause a node for longer than its lease, and resume it."""
     host = pick_host(run) if name is None else run.world.hosts[identity.NodeId(name)]
     worlds.pause_node(host)
     await trio.sleep(duration_s)
     worlds.resume_node(host)
 
 
-async def freeze_target(run: Run, duration_s: float) -> None:
-    """Freeze a target that comes back as if nothing had happened."""
+async def freeze_target(run: ScheduleState, duration_s: float) -> None:
+    """Freeze a target, which continues with its old state at the end."""
     host = pick_host(run)
     toy.freeze(host.toy)
     await trio.sleep(duration_s)
@@ -118,55 +126,57 @@
         toy.thaw(host.toy)
 
 
-async def lose_target(run: Run, duration_s: float) -> None:
-    """Lose a target whose node stays, and start another in its place."""
+async def lose_target(run: ScheduleState, duration_s: float) -> None:
+    """Kill a target whose node keeps running, and start a new one at the end."""
     host = pick_host(run)
     worlds.kill_target(run.world, host)
     await trio.sleep(duration_s)
     await _restart_target(run, host)
 
 
-async def chill_target(run: Run, duration_s: float) -> None:
-    """Turn a target cold without warning: it is slow until it is warm again."""
+async def slow_cold_target(run: ScheduleState, duration_s: float) -> None:
+    """Make a target eight times slower, as a cold one that does not announce it."""
     host = pick_host(run)
-    before_s = host.toy.service_time_s
-    host.toy.service_time_s = before_s * 8
+    service_time_s = host.toy.service_time_s
+    host.toy.service_time_s = service_time_s * 8
     await trio.sleep(duration_s)
-    host.toy.service_time_s = before_s
+    host.toy.service_time_s = service_time_s
 
 
-async def lose_coordinator(run: Run, duration_s: float) -> None:
-    """Lose the VM of the coordinator, which owns shards too."""
+async def lose_coordinator(run: ScheduleState, duration_s: float) -> None:
+    """Lose the VM of the coordinator, which may own shards as well."""
     await lose_node(run, duration_s, worlds.find_coordinator(run.world))
 
 
-async def pause_coordinator(run: Run, duration_s: float) -> None:
-    """Pause the coordinator past its consents."""
+async def pause_coordinator(run: ScheduleState, duration_s: float) -> None:
+    """Pause the coordinator until the consents of its standbys have expired."""
     await pause_node(run, duration_s, worlds.find_coordinator(run.world))
 
 
-async def lose_standby(run: Run, duration_s: float) -> None:
+async def lose_standby(run: ScheduleState, duration_s: float) -> None:
     """Lose the VM of a standby."""
-    duty = worlds.read_duty(run.world)
-    seats = [] if duty is None else duty.rules.row.standbys
-    await lose_node(run, duration_s, seats[0].node if seats else None)
+    leadership = worlds.read_leadership(run.world)
+    standbys = [] if leadership is None else leadership.rules.row.standbys
+    await lose_node(run, duration_s, standbys[0].node if standbys else None)
 
 
-async def cut_coordinator_from_nodes(run: Run, duration_s: float) -> None:
-    """Cut the coordinator off from all nodes, but not from the store."""
+async def cut_coordinator_from_nodes(run: ScheduleState, duration_s: float) -> None:
+    """Cut all links between the coordinator and the other nodes, but not those to the store."""
     name = worlds.find_coordinator(run.world) or pick_host(run).cfg.node
     links: set[worlds.Link] = {(name, other) for other in run.world.hosts if other != name}
-    await cut_links(run, links | {(b, a) for a, b in links}, duration_s)
+    await cut_links(
+        run, links | {(destination, source) for source, destination in links}, duration_s
+    )
 
 
-async def cut_coordinator_from_store(run: Run, duration_s: float) -> None:
-    """Cut the coordinator off from the store, but not from the nodes."""
+async def cut_coordinator_from_store(run: ScheduleState, duration_s: float) -> None:
+    """Cut the links between the coordinator and the store, but not those to other nodes."""
     name = worlds.find_coordinator(run.world) or pick_host(run).cfg.node
     await cut_links(run, {(name, worlds.STORE), (worlds.STORE, name)}, duration_s)
 
 
-async def cut_owner_from_coordinator(run: Run, duration_s: float) -> None:
-    """Cut an owner off from the coordinator; callers still reach it."""
+async def cut_owner_from_coordinator(run: ScheduleState, duration_s: float) -> None:
+    """Cut the links between a node and the coordinator; callers still reach both."""
     coordinator = worlds.find_coordinator(run.world)
     host = pick_host(run)
     if coordinator is not None:
@@ -174,48 +184,48 @@
         await cut_links(run, links, duration_s)
 
 
-async def cut_one_way(run: Run, duration_s: float) -> None:
-    """Lose what one node sends to the others, but nothing that it receives."""
+async def cut_one_way(run: ScheduleState, duration_s: float) -> None:
+    """Lose all data that one node sends to other nodes, but none that it receives."""
     name = pick_host(run).cfg.node
     links: set[worlds.Link] = {(name, other) for other in run.world.hosts if other != name}
     await cut_links(run, links, duration_s)
 
 
-async def cut_links(run: Run, links: set[worlds.Link], duration_s: float) -> None:
+async def cut_links(run: ScheduleState, links: set[worlds.Link], duration_s: float) -> None:
     """Cut links for a while.
 
     :param run: the schedule.
     :param links: one-way links.
-    :param duration_s: for how long.
+    :param duration_s: seconds until they are restored.
     """
-    run.world.cut |= links
+    run.world.cut_links |= links
     await trio.sleep(duration_s)
-    run.world.cut -= links
+    run.world.cut_links -= links
 
 
-async def stop_store(run: Run, duration_s: float) -> None:
+async def stop_store(run: ScheduleState, duration_s: float) -> None:
     """Take the table service and the object store down."""
     run.world.memory.is_down = True
     await trio.sleep(duration_s)
     run.world.memory.is_down = False
 
 
-async def slow_store(run: Run, duration_s: float) -> None:
-    """Let the store take 2 s for each reply."""
+async def slow_store(run: ScheduleState, duration_s: float) -> None:
+    """Delay each reply of the store by 2 s."""
     run.world.memory.delay_s = 2.0
     await trio.sleep(duration_s)
     run.world.memory.delay_s = 0.0
 
 
-async def lose_replies(run: Run, duration_s: float) -> None:
-    """Lose the replies of the next commits, which take effect."""
+async def lose_replies(run: ScheduleState, duration_s: float) -> None:
+    """Lose the replies to the next three commits, which are applied nevertheless."""
     run.world.memory.lost_replies += 3
     await trio.sleep(duration_s)
     run.world.memory.lost_replies = 0
 
 
-async def publish_twice(run: Run, duration_s: float) -> None:
-    """Let two operators publish at the same moment."""
+async def publish_twice(run: ScheduleState, duration_s: float) -> None:
+    """Publish two configurations at the same time, as two operators may."""
     async with trio.open_nursery() as nursery:
         for number in range(2):
             entries = list_objects(run, token_life_s=300.0 + number)
@@ -223,8 +233,8 @@
     await trio.sleep(duration_s)
 
 
-async def publish(run: Run, entries: list[objects.AnyObject], author: str) -> None:
-    """Publish a configuration; the outcome is in the history.
+async def publish(run: ScheduleState, entries: list[objects.AnyObject], author: str) -> None:
+    """Publish a configuration; the outcome is recorded in the world.
 
     :param run: the schedule.
     :param entries: the objects.
@@ -233,33 +243,33 @@
     await worlds.publish_objects(run.world, entries, author=author)
 
 
-async def send_crashing(run: Run, duration_s: float) -> None:
-    """Send a request that crashes its target, and send it again as its caller does."""
+async def send_crashing(run: ScheduleState, duration_s: float) -> None:
+    """Send a request that crashes its target, and resend it as a caller would."""
     service = run.random.choice(sorted(run.world.shape.keyed))
     key = f"key-{run.random.randrange(run.load.keys)}"
-    before = {name: host.toy.state for name, host in run.world.hosts.items()}
+    states_before = {name: host.toy.state for name, host in run.world.hosts.items()}
     if run.random.random() < 0.5:
         await load.run_operation(run.load, service, key, "crash")
     else:
-        # Only the quarantine keeps an idempotent request from a second target: it has no token.
+        # An idempotent request has no token, so only quarantine keeps it from a second target.
         operation = f"crash-{next(run.load.numbers)}"
         for _ in range(load.RESENDS):
             await load.send(run.load, "GET", service, key, operation)
             await trio.sleep(load.RESEND_PAUSE_S)
     for name, host in run.world.hosts.items():
-        if host.toy.state is toy.ToyState.DOWN and before[name] is toy.ToyState.UP:
+        if host.toy.state is toy.ToyState.DOWN and states_before[name] is toy.ToyState.UP:
             worlds.kill_target(run.world, host)
             await trio.sleep(duration_s)
             await _restart_target(run, host)
 
 
-async def silence_connections(run: Run, duration_s: float) -> None:
-    """Make half of the open connections silent for good."""
+async def silence_connections(run: ScheduleState, duration_s: float) -> None:
+    """Make half of the open connections lose all later data."""
     worlds.silence(run.world, 0.5)
     await trio.sleep(duration_s)
 
 
-async def slow_target(run: Run, duration_s: float) -> None:
+async def slow_target(run: ScheduleState, duration_s: float) -> None:
     """Make a target ten times slower."""
     host = pick_host(run)
     host.toy.service_time_s *= 10
@@ -267,8 +277,8 @@
     host.toy.service_time_s /= 10
 
 
-async def drain_zone(run: Run, duration_s: float) -> None:
-    """Take a zone out and bring it back."""
+async def drain_zone(run: ScheduleState, duration_s: float) -> None:
+    """Drain a zone and end the drain."""
     zone = run.random.choice(run.world.shape.zones)
     published = await worlds.publish_objects(run.world, list_objects(run, drained=zone))
     start_s = trio.current_time()
@@ -279,7 +289,7 @@
         run.drains.append(history.Drain(zone=zone, start_s=start_s, end_s=end_s))
 
 
-async def _restart_target(run: Run, host: worlds.Host) -> None:
+async def _restart_target(run: ScheduleState, host: worlds.Host) -> None:
     host.toy.state = toy.ToyState.UP
     host.toy.fences.clear()
     host.incarnation += 1
@@ -288,23 +298,23 @@
 
 
 def list_objects(
-    run: Run, *, drained: str | None = None, token_life_s: float = 300.0
+    run: ScheduleState, *, drained: str | None = None, token_life_s: float = 300.0
 ) -> list[objects.AnyObject]:
     """Return the configuration of a schedule.
 
     :param run: the schedule.
-    :param drained: a zone to take out.
+    :param drained: the zone to drain, if any.
     :param token_life_s: seconds for which a one-time token is valid.
     """
     return worlds.list_objects(
         run.world.shape,
         drained=drained,
         token_life_s=token_life_s,
-        checks_fence=run.course.checks_fence,
+        checks_fence=run.scenario.checks_fence,
     )
 
 
-def pick_host(run: Run) -> worlds.Host:
+def pick_host(run: ScheduleState) -> worlds.Host:
     """Return a VM drawn at random.
 
     :param run: the schedule.
@@ -312,13 +322,13 @@
     return run.world.hosts[run.random.choice(sorted(run.world.hosts))]
 
 
-Inject = collections.abc.Callable[[Run, float], collections.abc.Awaitable[None]]
-INJECT: dict[Fault, Inject] = {
+Injector = collections.abc.Callable[[ScheduleState, float], collections.abc.Awaitable[None]]
+INJECTORS: dict[Fault, Injector] = {
     Fault.NODE_LOST: lose_node,
     Fault.NODE_PAUSED: pause_node,
     Fault.TARGET_FROZEN: freeze_target,
     Fault.TARGET_LOST: lose_target,
-    Fault.TARGET_COLD: chill_target,
+    Fault.TARGET_COLD: slow_cold_target,
     Fault.COORDINATOR_LOST: lose_coordinator,
     Fault.COORDINATOR_PAUSED: pause_coordinator,
     Fault.STANDBY_LOST: lose_standby,
@@ -340,7 +350,7 @@
 def draw_faults(seed: int) -> list[Fault]:
     """Return the faults of a schedule: one, or a pair.
 
-    The first schedules go through every single fault; the others draw pairs.
+    Of every thousand seeds, the first ones go through the single faults; the others draw pairs.
 
     :param seed: the schedule's seed.
     """
@@ -350,108 +360,112 @@
     return random.Random(seed).choices(kinds, k=2)
 
 
-async def play(seed: int, faults: list[Fault], course: Course = DEFAULT_COURSE) -> history.History:
-    """Run one schedule and return its history.
+async def simulate(
+    seed: int, faults: list[Fault], scenario: Scenario = DEFAULT_SCENARIO
+) -> history.History:
+    """Run one schedule in the current trio run and return its history.
 
-    :param seed: of every random choice.
-    :param faults: what to inject.
-    :param course: how long it takes, and its traffic.
+    :param seed: seeds every random choice.
+    :param faults: the faults to inject.
+    :param scenario: timing and traffic.
     """
     rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
         world = worlds.build_world(worlds.SMALL, seed, nursery)
         for host in world.hosts.values():
-            host.toy.service_time_s = course.service_time_s
-            host.toy.checks_fence = course.checks_fence
-        callers = load.Load(world=world, random=rng, keys=course.keys, pause_s=course.pause_s)
-        run = Run(world=world, load=callers, random=rng, course=course)
+            host.toy.service_time_s = scenario.service_time_s
+            host.toy.checks_fence = scenario.checks_fence
+        callers = load.Load(world=world, random=rng, keys=scenario.keys, pause_s=scenario.pause_s)
+        run = ScheduleState(world=world, load=callers, random=rng, scenario=scenario)
         await worlds.start(world, list_objects(run))
-        async with trio.open_nursery() as calling:
-            for _ in range(course.callers):
-                calling.start_soon(load.run_caller, run.load)
-            await trio.sleep(course.warm_s)
+        async with trio.open_nursery() as caller_nursery:
+            for _ in range(scenario.callers):
+                caller_nursery.start_soon(load.run_caller, run.load)
+            await trio.sleep(scenario.warm_up_s)
             async with trio.open_nursery() as injections:
                 for fault in faults:
                     injections.start_soon(_inject, run, fault)
-            await trio.sleep(course.calm_s)
+            await trio.sleep(scenario.recovery_s)
             run.load.is_ended = True
         collected = history.collect(world, run.load.sent, run.drains)
         nursery.cancel_scope.cancel()
     return collected
 
 
-async def _inject(run: Run, fault: Fault) -> None:
-    course = run.course
-    await trio.sleep(run.random.random() * course.spread_s)
-    spare_s = course.longest_s - course.shortest_s
-    await INJECT[fault](run, course.shortest_s + run.random.random() * spare_s)
+async def _inject(run: ScheduleState, fault: Fault) -> None:
+    scenario = run.scenario
+    await trio.sleep(run.random.random() * scenario.max_onset_s)
+    range_s = scenario.max_fault_s - scenario.min_fault_s
+    await INJECTORS[fault](run, scenario.min_fault_s + run.random.random() * range_s)
 
 
 def run_schedule(seed: int, faults: list[Fault] | None = None) -> list[history.Violation]:
-    """Run one schedule on a substituted clock and return the violations.
+    """Run one schedule on a mock clock and return the violations.
 
-    :param seed: of every random choice.
-    :param faults: what to inject; drawn from the seed if not given.
+    :param seed: seeds every random choice.
+    :param faults: the faults to inject; drawn from the seed if not given.
     """
     return history.check(record_schedule(seed, faults or draw_faults(seed)))
 
 
 def record_schedule(
-    seed: int, faults: list[Fault], course: Course = DEFAULT_COURSE
+    seed: int, faults: list[Fault], scenario: Scenario = DEFAULT_SCENARIO
 ) -> history.History:
-    """Run one schedule on a substituted clock and return its history.
+    """Run one schedule on a mock clock and return its history.
 
-    :param seed: of every random choice.
-    :param faults: what to inject.
-    :param course: how long it takes, and its traffic.
+    :param seed: seeds every random choice.
+    :param faults: the faults to inject.
+    :param scenario: timing and traffic.
     """
     clock = trio.testing.MockClock(autojump_threshold=0)
-    # trio starts runnable tasks in random order, drawn from sets of tasks. To repeat a schedule in
-    # another process, it has to sort them and to draw from a seeded generator.
+    # trio runs the tasks of a batch, which is a set, in random order. For a schedule to repeat in
+    # another process, it has to sort the batch first and draw from a seeded generator.
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     trio._core._run._r.seed(seed)
-    before = logging.root.manager.disable
+    disabled_level = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
     try:
-        return trio.run(play, seed, faults, course, clock=clock)
+        return trio.run(simulate, seed, faults, scenario, clock=clock)
     finally:
-        logging.disable(before)
+        logging.disable(disabled_level)
 
 
 def run_many(first: int, count: int, workers: int) -> dict[int, list[history.Violation]]:
     """Run schedules in several processes and return the violations by seed.
 
     :param first: the first seed.
-    :param count: how many.
-    :param workers: processes.
+    :param count: number of schedules.
+    :param workers: number of processes.
     """
     seeds = range(first, first + count)
     with concurrent.futures.ProcessPoolExecutor(max_workers=workers) as executor:
-        found = executor.map(run_schedule, seeds, chunksize=4)
+        results = executor.map(run_schedule, seeds, chunksize=4)
         return {
-            seed: violations for seed, violations in zip(seeds, found, strict=True) if violations
+            seed: violations for seed, violations in zip(seeds, results, strict=True) if violations
         }
 
 
 def main(*, schedules: int = 200, seed: int = 0, workers: int = 0) -> None:
     """Run fault schedules and print the violations by kind.
 
-    :param schedules: how many.
+    :param schedules: number of schedules.
     :param seed: the first seed.
-    :param workers: processes; 0 for half of the cores.
+    :param workers: number of processes; 0 for half of the cores.
     """
     start_s = time.monotonic()
-    found = run_many(seed, schedules, workers or max(1, (os.cpu_count() or 2) // 2))
-    kinds = collections.Counter(
-        violation.rule.value for violations in found.values() for violation in violations
+    violations_by_seed = run_many(seed, schedules, workers or max(1, (os.cpu_count() or 2) // 2))
+    counts = collections.Counter(
+        violation.rule.value
+        for violations in violations_by_seed.values()
+        for violation in violations
     )
     print(f"schedules {schedules} from seed {seed}, {time.monotonic() - start_s:.0f} s")
     for rule in history.Rule:
-        print(f"{kinds[rule.value]:6d}  {rule.value}")
-    for number, violations in sorted(found.items())[:20]:
+        print(f"{counts[rule.value]:6d}  {rule.value}")
+    for number, violations in sorted(violations_by_seed.items())[:20]:
         names = "+".join(fault.value for fault in draw_faults(number))
         print(f"seed {number} ({names}): {violations[0].rule.value}: {violations[0].text}")
-    sys.exit(1 if found else 0)
+    sys.exit(1 if violations_by_seed else 0)
 
 
 if __name__ == "__main__":
--- a/bench/history.py
+++ b/bench/history.py
@@ -1,4 +1,4 @@
-"""What happened in a run of the mesh, and checkers of what must always hold."""
+"""Records what happened in a simulated run of the mesh, and checks it against the invariants."""
 
 import collections
 import collections.abc
@@ -8,13 +8,13 @@
 from bench import world as worlds
 from ebonyvalve.process import toy
 
-# "After a few seconds", as the design page makes it concrete.
+# The design page makes "after a few seconds" concrete with these bounds.
 DRAIN_S = 3.0
 IN_FORCE_S = 5.0
 
 
 class Rule(enum.Enum):
-    """What must always hold; the names are those of the table in docs/design.md."""
+    """The invariants that are checked; values are those of the table in docs/design.md."""
 
     ONE_OWNER = "A1 one owner"
     COMMITTED = "A2 acknowledged assignments are committed"
@@ -30,15 +30,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Violation:
-    """One broken rule."""
+    """A broken rule and the event that broke it."""
 
     rule: Rule
     text: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Sent:
-    """One request as its caller saw it. Times are in seconds."""
+class SentRequest:
+    """One request as its caller saw it. Times are in seconds of simulated time.
+
+    ``echoed`` is the request id that the target returned, empty if it returned none.
+    """
 
     request_id: str
     operation: str
@@ -57,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Drain:
-    """A zone was out from one time to another."""
+    """A period in which a zone was drained, in seconds of simulated time."""
 
     zone: str
     start_s: float
@@ -66,30 +69,35 @@
 
 @dataclasses.dataclass(kw_only=True)
 class History:
-    """Everything that the checkers read."""
+    """Everything that the checkers read. Times are in seconds of simulated time."""
 
-    sent: list[Sent] = dataclasses.field(default_factory=list)
+    sent: list[SentRequest] = dataclasses.field(default_factory=list)
     runs: list[toy.Run] = dataclasses.field(default_factory=list)
+    # Services whose keys have owners.
     keyed: frozenset[str] = frozenset()
     zones: dict[str, str] = dataclasses.field(default_factory=dict)
     # (shard, node, fencing token) of every committed assignment.
     committed: set[tuple[str, str, int]] = dataclasses.field(default_factory=set)
     drains: list[Drain] = dataclasses.field(default_factory=list)
+    # How often the target of each node was overloaded.
     overloads: dict[str, int] = dataclasses.field(default_factory=dict)
-    versions: list[tuple[float, str, int]] = dataclasses.field(default_factory=list)
+    # (time, node, version) of every configuration that a node has put in force.
+    adoptions: list[tuple[float, str, int]] = dataclasses.field(default_factory=list)
+    # (time, version) of every publication that was accepted.
     published: list[tuple[float, int]] = dataclasses.field(default_factory=list)
-    # Nodes that were up, reachable and serving when the run ended, with their versions.
-    final: dict[str, int] = dataclasses.field(default_factory=dict)
+    # Configuration version of each node that was running when the run ended.
+    final_versions: dict[str, int] = dataclasses.field(default_factory=dict)
     end_s: float = 0.0
+    # (node, traceback) of every node that ended by an exception.
     crashes: list[tuple[str, str]] = dataclasses.field(default_factory=list)
 
 
-def collect(world: worlds.World, sent: list[Sent], drains: list[Drain]) -> History:
+def collect(world: worlds.World, sent: list[SentRequest], drains: list[Drain]) -> History:
     """Return the history of a run that has ended.
 
     :param world: the mesh.
-    :param sent: what its callers sent.
-    :param drains: when which zone was out.
+    :param sent: the requests of its callers.
+    :param drains: when which zone was drained.
     """
     return History(
         sent=sent,
@@ -99,9 +107,9 @@
         committed=set(world.committed),
         drains=drains,
         overloads={name: host.toy.overloads for name, host in world.hosts.items()},
-        versions=[(at_s, str(node), version) for at_s, node, version in world.versions],
+        adoptions=[(at_s, str(node), version) for at_s, node, version in world.adoptions],
         published=list(world.published),
-        final={
+        final_versions={
             name: host.node.snapshot.version
             for name, host in world.hosts.items()
             if host.node is not None and host.node.snapshot is not None
@@ -112,43 +120,43 @@
 
 
 def check(history: History) -> list[Violation]:
-    """Return every violation of what must always hold.
+    """Return every violation of a rule.
 
     :param history: of a run.
     """
-    found: list[Violation] = []
+    violations: list[Violation] = []
     for checker in CHECKERS:
-        found += checker(history)
-    return found
+        violations += checker(history)
+    return violations
 
 
 def check_one_owner(history: History) -> list[Violation]:
-    """Find keys that two targets served at one time, or whose fencing token went back.
+    """Find keys that two targets served at the same time, or whose fencing token did not increase.
 
     :param history: of a run.
     """
-    found = []
-    by_key: dict[tuple[str, str], list[toy.Run]] = collections.defaultdict(list)
+    violations = []
+    runs_by_key: dict[tuple[str, str], list[toy.Run]] = collections.defaultdict(list)
     for run in history.runs:
         service = run.path.split("/")[1]
         if service in history.keyed and run.is_applied:
-            by_key[service, run.key].append(run)
-    for name, runs in by_key.items():
+            runs_by_key[service, run.key].append(run)
+    for name, runs in runs_by_key.items():
         runs.sort(key=lambda run: run.start_s)
         for earlier, later in zip(runs, runs[1:], strict=False):
             if earlier.node == later.node:
                 continue
             if later.start_s < (earlier.end_s or 0.0):
                 text = f"{name}: {earlier.node} and {later.node} at {later.start_s:.3f} s"
-                found.append(Violation(rule=Rule.ONE_OWNER, text=text))
+                violations.append(Violation(rule=Rule.ONE_OWNER, text=text))
             if read_fence(later) <= read_fence(earlier):
                 text = f"{name}: {later.node} served under {later.fence} after {earlier.fence}"
-                found.append(Violation(rule=Rule.ONE_OWNER, text=text))
-    return found
+                violations.append(Violation(rule=Rule.ONE_OWNER, text=text))
+    return violations
 
 
 def check_committed(history: History) -> list[Violation]:
-    """Find runs under a grant that the table never had.
+    """Find requests that ran under an assignment that was never committed to the table.
 
     :param history: of a run.
     """
@@ -156,12 +164,13 @@
         Violation(rule=Rule.COMMITTED, text=f"{run.node} ran {run.path} under {run.fence}")
         for run in history.runs
         if run.path.split("/")[1] in history.keyed
-        and (*split_fence(run), run.node) not in {(s, f, n) for s, n, f in history.committed}
+        and (*split_fence(run), run.node)
+        not in {(shard, fence, node) for shard, node, fence in history.committed}
     ]
 
 
 def check_cold(history: History) -> list[Violation]:
-    """Find targets that got more than they could bear while cold.
+    """Find targets that were overloaded, as happens to cold ones without slow start.
 
     :param history: of a run.
     """
@@ -173,7 +182,7 @@
 
 
 def check_drained(history: History) -> list[Violation]:
-    """Find runs that began in a zone that had been out for a few seconds.
+    """Find requests that began to run in a zone more than ``DRAIN_S`` after its drain.
 
     :param history: of a run.
     """
@@ -190,7 +199,7 @@
 
 
 def check_whole(history: History) -> list[Violation]:
-    """Find callers that got the answer to another request.
+    """Find callers that received the answer to another request, or an incomplete one.
 
     :param history: of a run.
     """
@@ -202,7 +211,7 @@
 
 
 def check_not_run(history: History) -> list[Violation]:
-    """Find requests that ran although their caller was told that they had not.
+    """Find requests that ran although the outcome sent to their caller was ``not-run``.
 
     :param history: of a run.
     """
@@ -230,40 +239,42 @@
 
 
 def check_in_force(history: History) -> list[Violation]:
-    """Find nodes that went back to an earlier configuration, or lack an accepted one at the end.
+    """Find nodes that reverted to an earlier configuration, or end without an accepted one.
 
     :param history: of a run.
     """
-    found = []
-    latest: dict[str, int] = {}
-    for _, node, version in history.versions:
-        if version < latest.get(node, 0):
-            text = f"{node} went from version {latest[node]} to {version}"
-            found.append(Violation(rule=Rule.IN_FORCE, text=text))
-        latest[node] = version
-    due = [version for at_s, version in history.published if at_s + IN_FORCE_S < history.end_s]
-    for node, version in history.final.items():
-        if due and version < max(due):
-            text = f"{node} has version {version}, accepted was {max(due)}"
-            found.append(Violation(rule=Rule.IN_FORCE, text=text))
-    return found
+    violations = []
+    latest_versions: dict[str, int] = {}
+    for _, node, version in history.adoptions:
+        if version < latest_versions.get(node, 0):
+            text = f"{node} went from version {latest_versions[node]} to {version}"
+            violations.append(Violation(rule=Rule.IN_FORCE, text=text))
+        latest_versions[node] = version
+    due_versions = [
+        version for at_s, version in history.published if at_s + IN_FORCE_S < history.end_s
+    ]
+    for node, version in history.final_versions.items():
+        if due_versions and version < max(due_versions):
+            text = f"{node} has version {version}, accepted was {max(due_versions)}"
+            violations.append(Violation(rule=Rule.IN_FORCE, text=text))
+    return violations
 
 
 def check_crash(history: History) -> list[Violation]:
-    """Find crashing requests that ran at a second target after the first one had died.
+    """Find crashing requests that ran at more than one target.
 
     :param history: of a run.
     """
-    found = []
-    by_path: dict[str, list[toy.Run]] = collections.defaultdict(list)
+    violations = []
+    runs_by_path: dict[str, list[toy.Run]] = collections.defaultdict(list)
     for run in history.runs:
         if "/crash" in run.path:
-            by_path[run.path].append(run)
-    for path, runs in by_path.items():
+            runs_by_path[run.path].append(run)
+    for path, runs in runs_by_path.items():
         if len({run.node for run in runs}) > 1:
             text = f"{path} ran at {sorted({run.node for run in runs})}"
-            found.append(Violation(rule=Rule.CRASH, text=text))
-    return found
+            violations.append(Violation(rule=Rule.CRASH, text=text))
+    return violations
 
 
 def check_exceptions(history: History) -> list[Violation]:
@@ -278,17 +289,17 @@
 
 
 def read_fence(run: toy.Run) -> int:
-    """Return the fencing token of a run.
+    """Return the fencing token under which a request ran.
 
-    :param run: the run.
+    :param run: the request, as its target recorded it.
     """
     return split_fence(run)[1]
 
 
 def split_fence(run: toy.Run) -> tuple[str, int]:
-    """Return the shard and the fencing token of a run.
+    """Return the shard and the fencing token under which a request ran.
 
-    :param run: the run.
+    :param run: the request, as its target recorded it.
     """
     shard, _, number = run.fence.rpartition(":")
     return shard, int(number)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Callers of the in-memory mesh: lookups, and operations that must run at most once."""
+"""Callers of the simulated mesh: lookups, and operations that must run at most once."""
 
 import dataclasses
 import itertools
@@ -17,22 +17,27 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Load:
-    """The state of the callers of one run."""
+    """The state that the callers of one run share.
+
+    ``pause_s`` is the mean pause of a caller between two requests, ``non_idempotent_share`` the
+    share of operations that must run at most once, and ``numbers`` makes request ids and paths
+    unique.
+    """
 
     world: worlds.World
     random: random.Random
     keys: int = 40
     pause_s: float = 0.1
-    once_share: float = 0.4
-    sent: list[history.Sent] = dataclasses.field(default_factory=list)
+    non_idempotent_share: float = 0.4
+    sent: list[history.SentRequest] = dataclasses.field(default_factory=list)
     numbers: "itertools.count[int]" = dataclasses.field(default_factory=itertools.count)
     is_ended: bool = False
-    # Where callers connect to; empty for all nodes.
+    # Nodes that callers connect to; empty for all nodes.
     nodes: list[str] = dataclasses.field(default_factory=list)
 
 
 async def run_caller(load: Load) -> None:
-    """Send requests one after the other until the load ends.
+    """Send requests one at a time until ``is_ended`` is set.
 
     :param load: the callers' state.
     """
@@ -40,7 +45,7 @@
     while not load.is_ended:
         service = load.random.choice(sorted(load.world.shape.instances))
         key = f"key-{load.random.randrange(load.keys)}"
-        if load.random.random() < load.once_share:
+        if load.random.random() < load.non_idempotent_share:
             await run_operation(load, service, key, "book")
         else:
             await send(load, "GET", service, key, f"look-{next(load.numbers)}")
@@ -48,12 +53,14 @@
 
 
 async def run_operation(load: Load, service: str, key: str, action: str) -> None:
-    """Run one operation at most once: get a token, send it, and send it again when in doubt.
+    """Run one operation at most once: get a one-time token, then send until there is an answer.
+
+    The first request has no token; its refusal brings one.
 
     :param load: the callers' state.
     :param service: the service.
     :param key: the key.
-    :param action: the first part of the path behind the key.
+    :param action: what the target does; a number makes the operation's path unique.
     """
     operation = f"{action}-{next(load.numbers)}"
     first = await send(load, "POST", service, key, operation)
@@ -70,13 +77,13 @@
 async def send(
     load: Load, method: str, service: str, key: str, operation: str, *, token: str | None = None
 ) -> worlds.Answer:
-    """Send one request to a node drawn at random, and note what came back.
+    """Send one request to a node drawn at random, and record it with its answer.
 
     :param load: the callers' state.
     :param method: the HTTP method.
     :param service: the service.
     :param key: the key.
-    :param operation: the path behind the key.
+    :param operation: the last segment of the path, after the key.
     :param token: the one-time token, if any.
     """
     node = load.random.choice(load.nodes or sorted(load.world.hosts))
@@ -90,7 +97,7 @@
         load.world, identity.NodeId(node), method, path, body=b"x", headers=headers
     )
     load.sent.append(
-        history.Sent(
+        history.SentRequest(
             request_id=request_id,
             operation=operation,
             service=service,
@@ -103,13 +110,13 @@
             status=answer.status,
             verdict=answer.verdict,
             reason=answer.headers.get("ebonyvalve-reason", ""),
-            echoed=_read_echo(answer),
+            echoed=_read_echoed_id(answer),
         )
     )
     return answer
 
 
-def _read_echo(answer: worlds.Answer) -> str:
+def _read_echoed_id(answer: worlds.Answer) -> str:
     if answer.status != 200 or answer.headers.get("ebonyvalve-reason") == "token-used":
         return ""
     try:
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,11 +1,11 @@
-"""Time from a fault until every key of the lost owner is answered again.
-
-``python -m bench.recovery --seed 1`` prints one row per deployment and fault. The lost owner is the
-one with the most keys. Every 100 ms a new lookup of one key of each of its partitions is sent to a
-node drawn at random; when the lost VM owned none, a sample of all keys is asked. A key is
-unavailable until the first good answer to a lookup that was sent no earlier than the last one that
-failed or took longer than 100 ms. The baseline keeps one lease of
-3 s per node in the table, renewed every second; other nodes read the table every 500 ms.
+"""Measures the time from a loss until every key of the lost owner is served again.
+
+``python -m bench.recovery --seed 1`` prints one row per deployment and loss. The lost owner is the
+one with the most shards. Every 100 ms a new lookup of one key of each of its shards is sent to a
+node drawn at random; if the lost VM owned none, a sample of the keys is used. A key is unavailable
+until the first good answer to a lookup that was sent no earlier than the last one that failed or
+took longer than 100 ms. The baseline is a simulated design that keeps one lease of 3 s per node in
+the table, renewed every second; other nodes read the table every 500 ms.
 """
 
 import collections.abc
@@ -28,20 +28,21 @@
 
 BOUND_S = 1.0
 WINDOW_S = 1.8
-ASK_PERIOD_S = 0.1
-# A mesh in which the VM to lose owns keys, or none, against what is wanted, is built again.
-ATTEMPTS = 40
+LOOKUP_INTERVAL_S = 0.1
+# A mesh in which the VM to lose owns keys although it must not, or the reverse, is built again
+# with another seed.
+MAX_BUILDS = 40
 SLOW_S = 0.1
-SAMPLE = 12
+SAMPLE_SIZE = 12
 BASELINE_LEASE_S = 3.0
 BASELINE_RENEWAL_S = 1.0
 BASELINE_POLL_S = 0.5
 BASELINE_WRITE_S = 0.002
-SHAPES = {"Andinaflota": worlds.ANDINAFLOTA, "Chambre Noire": worlds.CHAMBRE_NOIRE}
+DEPLOYMENTS = {"Andinaflota": worlds.ANDINAFLOTA, "Chambre Noire": worlds.CHAMBRE_NOIRE}
 
 
 class Loss(enum.Enum):
-    """What is lost."""
+    """What is lost; the values are printed."""
 
     NODE_AND_TARGET = "node and target lost"
     TARGET = "target lost"
@@ -55,31 +56,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lookup:
-    """One request, with times in seconds since the fault."""
+    """One lookup of a key, with times in seconds since the loss."""
 
     start_s: float
     end_s: float
-    is_good: bool
+    is_ok: bool
 
 
-def find_restored(lookups: list[Lookup]) -> float:
-    """Return when a key was answered again, in seconds since the fault; infinite if never.
+def find_recovery(lookups: list[Lookup]) -> float:
+    """Return when a key was served again, in seconds since the loss; infinite if never.
 
-    :param lookups: of one key.
+    :param lookups: the lookups of one key.
     """
-    hit = [e.start_s for e in lookups if not e.is_good or e.end_s - e.start_s > SLOW_S]
-    if not hit:
+    affected = [e.start_s for e in lookups if not e.is_ok or e.end_s - e.start_s > SLOW_S]
+    if not affected:
         return 0.0
-    served = [entry.end_s for entry in lookups if entry.is_good and entry.start_s >= max(hit)]
+    served = [e.end_s for e in lookups if e.is_ok and e.start_s >= max(affected)]
     return min(served, default=math.inf)
 
 
 # Whether the last VM that is lost must own keys; a standby may or may not.
-WANTED = {loss: loss is not Loss.COORDINATOR for loss in Loss if loss is not Loss.STANDBY}
+MUST_OWN_KEYS = {loss: loss is not Loss.COORDINATOR for loss in Loss if loss is not Loss.STANDBY}
 
 
 def lose_vm(world: worlds.World, host: worlds.Host) -> None:
-    """End a node and its target at once.
+    """Kill a node and its target.
 
     :param world: the mesh.
     :param host: the VM.
@@ -89,14 +90,14 @@
 
 
 def pick_hosts(world: worlds.World, loss: Loss) -> list[worlds.Host]:
-    """Return the VMs that a loss concerns.
+    """Return the VMs that a loss affects.
 
-    :param world: a mesh that runs.
+    :param world: a running mesh.
     :param loss: what is lost.
     """
     name = worlds.find_coordinator(world)
-    duty = worlds.read_duty(world)
-    if name is None or duty is None:
+    leadership = worlds.read_leadership(world)
+    if name is None or leadership is None:
         raise RuntimeError("the mesh has no coordinator")
     owners = [
         host
@@ -108,22 +109,22 @@
     if loss is Loss.COORDINATOR_AND_OTHER:
         return [world.hosts[name], find_busiest(world, owners)]
     if loss is Loss.STANDBY:
-        return [world.hosts[world.random.choice(duty.rules.row.standbys).node]]
+        return [world.hosts[world.random.choice(leadership.rules.row.standbys).node]]
     return [find_busiest(world, owners)]
 
 
 def find_busiest(world: worlds.World, hosts: list[worlds.Host]) -> worlds.Host:
     """Return the VM that owns the most shards.
 
-    :param world: a mesh that runs.
+    :param world: a running mesh.
     :param hosts: the VMs to choose from.
     """
     owned = worlds.count_owned(world)
     return max(hosts, key=lambda host: owned[host.cfg.node])
 
 
-def inflict(world: worlds.World, loss: Loss, hosts: list[worlds.Host]) -> None:
-    """Bring a loss about.
+def cause_loss(world: worlds.World, loss: Loss, hosts: list[worlds.Host]) -> None:
+    """Cause a loss.
 
     :param world: the mesh.
     :param loss: what is lost.
@@ -141,7 +142,7 @@
 
 
 def list_keys(world: worlds.World, hosts: list[worlds.Host]) -> list[str]:
-    """Return one key of each shard that VMs own, or of some shards if they own none.
+    """Return one key of each shard that some VMs own, or a sample of keys if they own none.
 
     :param world: the mesh.
     :param hosts: the VMs.
@@ -159,48 +160,49 @@
     lost = {host.cfg.node for host in hosts}
     state = node.here.read_node()
     owned = [keys[shard] for shard in sorted(keys) if lease.find_owner(state, shard) in lost]
-    return owned or world.random.sample(sorted(keys.values()), SAMPLE)
+    return owned or world.random.sample(sorted(keys.values()), SAMPLE_SIZE)
 
 
-async def ask(
+async def send_lookups(
     world: worlds.World,
     nodes: list[identity.NodeId],
     key: str,
-    began_s: float,
+    lost_at_s: float,
     lookups: list[Lookup],
 ) -> None:
-    """Ask for one key until the window ends, whether or not earlier lookups have ended.
+    """Look up one key at fixed intervals, whether or not earlier lookups have ended.
 
     :param world: the mesh.
-    :param nodes: the nodes to ask.
+    :param nodes: the nodes to send lookups to.
     :param key: the key.
-    :param began_s: when the fault began.
+    :param lost_at_s: time of the loss, in seconds of simulated time.
     :param lookups: receives the results.
     """
     service = next(iter(world.shape.keyed))
 
-    async def look(number: int) -> None:
-        start_s = trio.current_time() - began_s
-        # The paths differ, as a lookup that was running when its target died is quarantined.
+    async def look_up(number: int) -> None:
+        start_s = trio.current_time() - lost_at_s
+        # Each path is used once, as a lookup that was running when its target died is quarantined.
         path = f"/{service}/{key}/look-{number}"
         answer = await worlds.call(world, world.random.choice(nodes), "GET", path)
-        end_s = trio.current_time() - began_s
-        lookups.append(Lookup(start_s=start_s, end_s=end_s, is_good=answer.status == 200))
+        end_s = trio.current_time() - lost_at_s
+        lookups.append(Lookup(start_s=start_s, end_s=end_s, is_ok=answer.status == 200))
 
     async with trio.open_nursery() as nursery:
-        for number in range(round(WINDOW_S / ASK_PERIOD_S)):
-            nursery.start_soon(look, number)
-            await trio.sleep(ASK_PERIOD_S)
+        for number in range(round(WINDOW_S / LOOKUP_INTERVAL_S)):
+            nursery.start_soon(look_up, number)
+            await trio.sleep(LOOKUP_INTERVAL_S)
 
 
 async def measure(shape: worlds.Shape, loss: Loss, seed: int) -> tuple[float, int, int] | None:
-    """Return the seconds until every key is answered, the requests sent, and those that failed.
+    """Return the seconds until every key is served, the requests sent, and those that failed.
 
-    ``None`` means that the VM to lose owns keys, or none, against what the loss needs.
+    ``None`` means that this mesh does not fit: the VM to lose owns keys although the loss excludes
+    that, or the reverse.
 
-    :param shape: of the mesh.
+    :param shape: the size of the mesh.
     :param loss: what is lost.
-    :param seed: of every random choice.
+    :param seed: seeds every random choice.
     """
     async with trio.open_nursery() as nursery:
         world = worlds.build_world(shape, seed, nursery)
@@ -208,28 +210,28 @@
         await trio.sleep(0.3 + 0.3 * world.random.random())
         hosts = pick_hosts(world, loss)
         is_owner = worlds.count_owned(world)[hosts[-1].cfg.node] > 0
-        if loss in WANTED and is_owner != WANTED[loss]:
+        if loss in MUST_OWN_KEYS and is_owner != MUST_OWN_KEYS[loss]:
             nursery.cancel_scope.cancel()
             return None
         keys = list_keys(world, hosts)
-        names = {host.cfg.node for host in hosts}
-        nodes = sorted(set(world.hosts) - names)
-        began_s = trio.current_time()
-        inflict(world, loss, hosts)
+        lost_nodes = {host.cfg.node for host in hosts}
+        nodes = sorted(set(world.hosts) - lost_nodes)
+        lost_at_s = trio.current_time()
+        cause_loss(world, loss, hosts)
         lookups: dict[str, list[Lookup]] = {key: [] for key in keys}
-        async with trio.open_nursery() as asking:
+        async with trio.open_nursery() as lookup_nursery:
             for key in keys:
-                asking.start_soon(ask, world, nodes, key, began_s, lookups[key])
+                lookup_nursery.start_soon(send_lookups, world, nodes, key, lost_at_s, lookups[key])
         for host in hosts:
             worlds.resume_node(host)
         nursery.cancel_scope.cancel()
-    everything = [entry for entries in lookups.values() for entry in entries]
-    slowest_s = max(find_restored(entries) for entries in lookups.values())
-    return slowest_s, len(everything), sum(not entry.is_good for entry in everything)
+    all_lookups = [entry for entries in lookups.values() for entry in entries]
+    slowest_s = max(find_recovery(entries) for entries in lookups.values())
+    return slowest_s, len(all_lookups), sum(not entry.is_ok for entry in all_lookups)
 
 
-def run_one(case: tuple[str, Loss, int]) -> tuple[float, int, int]:
-    """Run one case on a substituted clock; see :func:`measure`.
+def run_case(case: tuple[str, Loss, int]) -> tuple[float, int, int]:
+    """Run one case on a mock clock; see :func:`measure`.
 
     :param case: deployment, loss and seed.
     """
@@ -237,39 +239,39 @@
     name, loss, seed = case
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     trio._core._run._r.seed(seed)
-    for attempt in range(ATTEMPTS):
+    for attempt in range(MAX_BUILDS):
         clock = trio.testing.MockClock(autojump_threshold=0)
-        found = trio.run(measure, SHAPES[name], loss, seed + 1000 * attempt, clock=clock)
-        if found is not None:
-            return found
-    raise RuntimeError(f"no VM for {loss.value} in {ATTEMPTS} attempts")
+        measured = trio.run(measure, DEPLOYMENTS[name], loss, seed + 1000 * attempt, clock=clock)
+        if measured is not None:
+            return measured
+    raise RuntimeError(f"no VM for {loss.value} in {MAX_BUILDS} attempts")
 
 
 def simulate_baseline(rng: random.Random) -> float:
-    """Return the seconds until a key is served again under leases in the table.
+    """Return the seconds until the baseline serves a key of a lost node again.
 
-    :param rng: draws the phases of renewal and reading.
+    :param rng: draws how long ago the lease was renewed and when the table is read next.
     """
-    left_s = BASELINE_LEASE_S - rng.random() * BASELINE_RENEWAL_S
-    return left_s + rng.random() * BASELINE_POLL_S + BASELINE_WRITE_S
+    remaining_s = BASELINE_LEASE_S - rng.random() * BASELINE_RENEWAL_S
+    return remaining_s + rng.random() * BASELINE_POLL_S + BASELINE_WRITE_S
 
 
 def main(*, seed: int = 1, seeds: int = 3, workers: int = 3) -> None:
     """Print the time to recover from each loss.
 
     :param seed: the first seed.
-    :param seeds: runs of each case.
-    :param workers: processes.
+    :param seeds: number of runs of each case.
+    :param workers: number of processes.
     """
     runs = range(seed, seed + seeds)
-    cases = [(name, loss, number) for name in SHAPES for loss in Loss for number in runs]
+    cases = [(name, loss, number) for name in DEPLOYMENTS for loss in Loss for number in runs]
     with concurrent.futures.ProcessPoolExecutor(max_workers=workers) as executor:
-        found = dict(zip(cases, executor.map(run_one, cases), strict=True))
+        results_by_case = dict(zip(cases, executor.map(run_case, cases), strict=True))
     rng = random.Random(seed)
     rows = []
-    for name in SHAPES:
+    for name in DEPLOYMENTS:
         for loss in Loss:
-            results = [found[name, loss, number] for number in runs]
+            results = [results_by_case[name, loss, number] for number in runs]
             rows.append(build_row(name, loss.value, [entry[0] for entry in results]))
             rows[-1] += [str(sum(entry[1] for entry in results))]
             rows[-1] += [str(sum(entry[2] for entry in results))]
@@ -277,8 +279,8 @@
     rows.append([*build_row("baseline", "node lost, lease of 3 s in the table", waits), "-", "-"])
     heads = ["deployment", "loss", "runs", "min s", "median s", "max s", "over 1 s"]
     table.show([*heads, "requests", "failed"], rows)
-    late = [case for case, entry in found.items() if entry[0] > BOUND_S]
-    for name, loss, number in late:
+    late_cases = [case for case, entry in results_by_case.items() if entry[0] > BOUND_S]
+    for name, loss, number in late_cases:
         print(f"over the bound: {name}, {loss.value}, seed {number}")
 
 
@@ -287,7 +289,7 @@
 
     :param name: the deployment.
     :param loss: what was lost.
-    :param waits: seconds until the last key was answered, one for each run.
+    :param waits: seconds until the last key was served again, one for each run.
     """
     figures = [min(waits), statistics.median(waits), max(waits)]
     over = sum(wait > BOUND_S for wait in waits)
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,7 +1,7 @@
-"""Nodes of the real code in one process, joined by an in-memory network, on a substituted clock.
+"""Simulates a mesh in one process: the real node code over an in-memory network and a mock clock.
 
-The network, the table, the object store and the targets are small fakes that faults are injected
-into; everything between them is the code that the daemon runs.
+The network, the table, the object store and the targets are small fakes into which faults are
+injected; everything between them is the code that the daemon runs.
 """
 
 import collections
@@ -44,7 +44,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Shape:
-    """The size of a deployment."""
+    """The size of a deployment.
+
+    ``between_zones_s`` and ``from_callers_s`` are round-trip times in seconds, between nodes of
+    different zones and between a caller and a node.
+    """
 
     zones: list[str]
     # Instances of each service.
@@ -84,7 +88,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Host:
-    """One VM: a node and the target beside it. ``scope`` is that of the running node."""
+    """One VM: a node and the target beside it.
+
+    ``scope`` cancels the running node. ``killed`` is set when the node is killed. ``resumed`` is
+    present while the node is paused, and set when it resumes.
+    """
 
     cfg: settings.Settings
     toy: toy.Toy
@@ -99,8 +107,8 @@
 class World:
     """The state of all fakes.
 
-    ``cut`` lists one-way links that lose everything; ends are node ids, :data:`CALLERS` and
-    :data:`STORE`. ``versions`` notes when each node put which configuration in force.
+    ``cut_links`` holds one-way links that lose everything; their ends are node ids,
+    :data:`CALLERS` and :data:`STORE`.
     """
 
     shape: Shape
@@ -108,19 +116,22 @@
     nursery: trio.Nursery
     memory: platform.Memory = dataclasses.field(default_factory=platform.Memory)
     hosts: dict[identity.NodeId, Host] = dataclasses.field(default_factory=dict)
-    cut: set[Link] = dataclasses.field(default_factory=set)
+    cut_links: set[Link] = dataclasses.field(default_factory=set)
     listeners: dict[str, tuple[identity.NodeId, "Serve"]] = dataclasses.field(default_factory=dict)
     handlers: dict[str, tuple[identity.NodeId, peer.Handle]] = dataclasses.field(
         default_factory=dict
     )
-    versions: list[tuple[float, identity.NodeId, int]] = dataclasses.field(default_factory=list)
+    # (time, node, version) of every configuration that a node has put in force.
+    adoptions: list[tuple[float, identity.NodeId, int]] = dataclasses.field(default_factory=list)
+    # (time, version) of every publication that was accepted.
     published: list[tuple[float, int]] = dataclasses.field(default_factory=list)
-    # Nodes that ended by an exception, with its text.
+    # (node, traceback) of every node that ended by an exception.
     crashes: list[tuple[identity.NodeId, str]] = dataclasses.field(default_factory=list)
-    # (shard, node, fencing token) of every assignment that the table has had.
+    # (shard, node, fencing token) of every assignment ever committed to the table.
     committed: set[tuple[str, str, int]] = dataclasses.field(default_factory=set)
-    # Connections opened so far may be made silent together.
-    streams: list["LinkState"] = dataclasses.field(default_factory=list)
+    # Both ends of the connections opened since the last call of :func:`silence`.
+    link_ends: list["LinkEnd"] = dataclasses.field(default_factory=list)
+    # Control messages sent, replies included.
     messages: int = 0
 
 
@@ -128,8 +139,8 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class LinkState:
-    """One end of a connection; a silent one swallows what is sent."""
+class LinkEnd:
+    """The sending direction of one end of a connection; a silent one loses all data."""
 
     source: str
     destination: str
@@ -137,11 +148,11 @@
 
 
 def build_world(shape: Shape, seed: int, nursery: trio.Nursery) -> World:
-    """Return a mesh that is not running yet.
+    """Return a mesh whose nodes and targets are not started yet.
 
     :param shape: its size.
-    :param seed: of every random choice.
-    :param nursery: runs its tasks.
+    :param seed: seeds every random choice.
+    :param nursery: runs the tasks of nodes and connections.
     """
     world = World(shape=shape, random=random.Random(seed), nursery=nursery)
     number = 0
@@ -177,8 +188,8 @@
     """Return the configuration of a mesh.
 
     :param shape: its size.
-    :param drained: a zone to take out.
-    :param fields: fields that every service gets.
+    :param drained: the zone to drain, if any.
+    :param fields: fields to set on every service.
     """
     defaults: dict[str, object] = {
         "slots": shape.slots,
@@ -203,7 +214,7 @@
 async def publish_objects(
     world: World, entries: list[objects.AnyObject], *, author: str = "operator"
 ) -> publish.Published:
-    """Publish a configuration and note when it was accepted.
+    """Publish a configuration; if it is accepted, record when.
 
     :param world: the mesh.
     :param entries: the objects.
@@ -214,7 +225,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(timer.run, clock)
         head = (await publish.read_head(store.table)).value_or(None)
-        order = publish.PublishRequest(
+        request = publish.PublishRequest(
             body=objects.encode_body(objects.ObjectSet(objects=entries)),
             base=identity.ConfigVersion(0) if head is None else publish.find_version(head),
             author=author,
@@ -222,7 +233,7 @@
             at="2026-01-01T00:00:00Z",
             publication=f"{world.random.getrandbits(64):016x}",
         )
-        published = await publish.publish(store, order, clock)
+        published = await publish.publish(store, request, clock)
         nursery.cancel_scope.cancel()
     if published.state is publish.State.ACCEPTED:
         world.published.append((trio.current_time(), published.version))
@@ -230,24 +241,26 @@
 
 
 def build_platform(world: World, source: str) -> platform.Platform:
-    """Return the platform's services as one process sees them.
+    """Return the table and the object store as one process reaches them.
+
+    Each call takes 1 ms; over a cut link it fails after 1 s.
 
     :param world: the mesh.
-    :param source: the process.
+    :param source: node id of the process, or another name for one outside the mesh.
     """
     inner = platform.open_memory(world.memory)
 
-    def guard(call: collections.abc.Callable[..., collections.abc.Awaitable[object]], lost: object):  # type: ignore[no-untyped-def]
+    def guard(call: collections.abc.Callable[..., collections.abc.Awaitable[object]], loss: object):  # type: ignore[no-untyped-def]
         async def run(*args: object) -> object:
             await wait_resumed(world, source)
             await trio.sleep(0.001)
-            if (source, STORE) in world.cut:
+            if (source, STORE) in world.cut_links:
                 await trio.sleep(1.0)
-                return lost
+                return loss
             answer = await call(*args)
-            if (STORE, source) in world.cut:
+            if (STORE, source) in world.cut_links:
                 await trio.sleep(1.0)
-                return lost
+                return loss
             await wait_resumed(world, source)
             return answer
 
@@ -255,7 +268,7 @@
 
     async def commit(expected: platform.Expected, writes: platform.Writes) -> platform.CommitState:
         state = await inner.table.commit(expected, writes)
-        _note_committed(world, writes)
+        _record_committed(world, writes)
         return state
 
     unavailable = result.Failure(platform.StoreFailure.UNAVAILABLE)
@@ -271,7 +284,7 @@
     )
 
 
-def _note_committed(world: World, writes: platform.Writes) -> None:
+def _record_committed(world: World, writes: platform.Writes) -> None:
     for name in writes:
         kind, _, service = name.partition("/")
         value = world.memory.rows.get(name, platform.Row()).value
@@ -287,10 +300,10 @@
 
 
 async def wait_resumed(world: World, name: str) -> None:
-    """Wait while a process is paused; what it had begun goes on afterwards.
+    """Wait while a process is paused; work that it has begun continues when it resumes.
 
     :param world: the mesh.
-    :param name: the process.
+    :param name: node id of the process; any other name returns at once.
     """
     host = world.hosts.get(identity.NodeId(name))
     while host is not None and host.resumed is not None:
@@ -304,38 +317,38 @@
 
     :param world: the mesh.
     :param source: a node id or :data:`CALLERS`.
-    :param destination: likewise.
+    :param destination: a node id or :data:`CALLERS`.
     """
     if CALLERS in (source, destination):
         return world.shape.from_callers_s / 2
-    one = world.hosts[identity.NodeId(source)].cfg.zone
-    other = world.hosts[identity.NodeId(destination)].cfg.zone
-    return 0.00005 if one == other else world.shape.between_zones_s / 2
+    source_zone = world.hosts[identity.NodeId(source)].cfg.zone
+    destination_zone = world.hosts[identity.NodeId(destination)].cfg.zone
+    return 0.00005 if source_zone == destination_zone else world.shape.between_zones_s / 2
 
 
 class LinkStream(trio.abc.HalfCloseableStream):
     """A stream over the in-memory network; trio requires a class."""
 
-    def __init__(self, *, world: World, link: LinkState, inner: trio.StapledStream) -> None:  # type: ignore[type-arg]
+    def __init__(self, *, world: World, link: LinkEnd, inner: trio.StapledStream) -> None:  # type: ignore[type-arg]
         self.world = world
         self.link = link
         self.inner = inner
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """Deliver data after the latency, or lose it with all that follows."""
+        """Deliver data after the latency; over a cut link, lose it and all later data."""
         await wait_resumed(self.world, self.link.source)
-        if (self.link.source, self.link.destination) in self.world.cut:
+        if (self.link.source, self.link.destination) in self.world.cut_links:
             self.link.is_silent = True
         await trio.sleep(find_latency(self.world, self.link.source, self.link.destination))
         if not self.link.is_silent:
             await self.inner.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Return at once; the in-memory stream has no limit."""
+        """Return at once, as the in-memory stream has no send buffer limit."""
         await trio.lowlevel.checkpoint()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return data once its reader runs."""
+        """Return received data, as soon as the receiving process is not paused."""
         data = await self.inner.receive_some(max_bytes)
         await wait_resumed(self.world, self.link.source)
         return bytes(data)
@@ -345,9 +358,9 @@
         await self.inner.send_eof()
 
     async def aclose(self) -> None:
-        """Close the connection; the other end of a cut link does not learn of it."""
+        """Close the connection; over a cut or silent link, the other end is not told."""
         link = (self.link.source, self.link.destination)
-        if link in self.world.cut or self.link.is_silent:
+        if link in self.world.cut_links or self.link.is_silent:
             await trio.lowlevel.checkpoint()
             return
         await self.inner.aclose()
@@ -357,45 +370,47 @@
     """Return both ends of a new connection.
 
     :param world: the mesh.
-    :param source: who connects.
-    :param destination: who accepts.
+    :param source: the process that connects.
+    :param destination: the process that accepts.
     """
     near, far = trio.testing.memory_stream_pair()
-    there = LinkState(source=source, destination=destination)
-    back = LinkState(source=destination, destination=source)
-    world.streams += [there, back]
+    forward = LinkEnd(source=source, destination=destination)
+    backward = LinkEnd(source=destination, destination=source)
+    world.link_ends += [forward, backward]
     return (
-        LinkStream(world=world, link=there, inner=near),
-        LinkStream(world=world, link=back, inner=far),
+        LinkStream(world=world, link=forward, inner=near),
+        LinkStream(world=world, link=backward, inner=far),
     )
 
 
 async def connect(world: World, source: str, address: str) -> trio.abc.Stream:
     """Open a connection over the in-memory network.
 
+    Never returns while the link is cut in either direction.
+
     :param world: the mesh.
-    :param source: who connects.
+    :param source: the process that connects.
     :param address: a listener's address.
-    :raises OSError: when nobody listens.
+    :raises OSError: when nothing listens there or the target is down.
     """
     await wait_resumed(world, source)
     owner = address.split(":")[0]
     await trio.sleep(2 * find_latency(world, source, owner))
-    if (source, owner) in world.cut or (owner, source) in world.cut:
+    if (source, owner) in world.cut_links or (owner, source) in world.cut_links:
         await trio.sleep_forever()
-    found = world.listeners.get(address)
+    listener = world.listeners.get(address)
     is_target = address.endswith(":target")
-    if found is None or (is_target and world.hosts[found[0]].toy.state is toy.ToyState.DOWN):
+    if listener is None or (is_target and world.hosts[listener[0]].toy.state is toy.ToyState.DOWN):
         raise OSError(f"{address} refuses the connection")
     near, far = open_pair(world, source, owner)
-    host = world.hosts[found[0]]
+    host = world.hosts[listener[0]]
     killed = trio.Event() if is_target else host.killed
-    world.nursery.start_soon(_serve_until, killed, found[1], far)
+    world.nursery.start_soon(_serve_until, killed, listener[1], far)
     return near
 
 
 async def _serve_until(killed: trio.Event, serve: Serve, stream: LinkStream) -> None:
-    """Serve a connection until its process is killed, which closes it."""
+    """Serve a connection until it ends or its process is killed, then close it."""
     async with trio.open_nursery() as nursery:
 
         async def run() -> None:
@@ -415,8 +430,8 @@
 
     :param world: the mesh.
     :param node: the process that listens.
-    :param address: where.
-    :param serve: runs for each connection.
+    :param address: the address to listen on.
+    :param serve: called for each connection.
     """
     world.listeners[address] = (node, serve)
     try:
@@ -427,7 +442,7 @@
 
 
 def build_edges(world: World, node: identity.NodeId) -> daemon.Edges:
-    """Return the outside world of one node.
+    """Return the network, the platform, the clock and the random numbers of one node.
 
     :param world: the mesh.
     :param node: the node.
@@ -437,7 +452,7 @@
         address: identity.Address, request: message.Message, timeout_s: float
     ) -> peer.AskResult:
         with trio.move_on_after(timeout_s):
-            return await _carry(world, node, address, request)
+            return await _exchange_control(world, node, address, request)
         return result.Failure(peer.PeerFailure.TIMEOUT)
 
     async def serve_control(handle: peer.Handle, address: identity.Address) -> None:
@@ -462,45 +477,45 @@
     )
 
 
-async def _carry(
+async def _exchange_control(
     world: World, source: identity.NodeId, address: identity.Address, request: message.Message
 ) -> peer.AskResult:
-    """Carry a request and its reply; a cut direction loses one or the other."""
+    """Carry a control request and its reply; a cut direction loses one or the other."""
     await wait_resumed(world, source)
     destination = address.split(":")[0]
     world.messages += 2
     await trio.sleep(find_latency(world, source, destination))
-    if (source, destination) in world.cut:
+    if (source, destination) in world.cut_links:
         await trio.sleep_forever()
-    found = world.handlers.get(address)
-    if found is None:
+    handler = world.handlers.get(address)
+    if handler is None:
         return result.Failure(peer.PeerFailure.REFUSED)
     replies: list[message.Message] = []
     answered = trio.Event()
 
     async def answer() -> None:
-        # The handler goes on when the one who asked has given up.
+        # The handler continues even after the requester has timed out.
         await wait_resumed(world, destination)
-        if world.handlers.get(address) is not found:
+        if world.handlers.get(address) is not handler:
             return
         try:
-            replies.append(await found[1](request))
+            replies.append(await handler[1](request))
             answered.set()
         except Exception as exc:
-            _note_crash(world, world.hosts[found[0]], exc)
+            _record_crash(world, world.hosts[handler[0]], exc)
 
     world.nursery.start_soon(answer)
     await answered.wait()
     await wait_resumed(world, destination)
     await trio.sleep(find_latency(world, destination, source))
-    if (destination, source) in world.cut:
+    if (destination, source) in world.cut_links:
         await trio.sleep_forever()
     await wait_resumed(world, source)
     return result.Success(replies[0])
 
 
 async def start(world: World, entries: list[objects.AnyObject]) -> None:
-    """Publish a configuration, start every node and wait until all shards have owners.
+    """Publish a configuration, start every VM and wait until all shards are served.
 
     :param world: the mesh.
     :param entries: the objects.
@@ -511,12 +526,12 @@
         await start_node(world, host)
     with trio.fail_after(30):
         # Polling costs nothing on a substituted clock.
-        while not is_settled(world):  # noqa: ASYNC110
+        while not is_converged(world):  # noqa: ASYNC110
             await trio.sleep(0.01)
 
 
 def start_target(world: World, host: Host) -> None:
-    """Let the target of a VM accept connections.
+    """Start the target of a VM, cold, so that it accepts connections.
 
     :param world: the mesh.
     :param host: the VM.
@@ -529,7 +544,7 @@
 
 
 async def start_node(world: World, host: Host) -> None:
-    """Start the node of a VM and let its target announce itself.
+    """Start the node of a VM and announce its target to it.
 
     :param world: the mesh.
     :param host: the VM.
@@ -537,7 +552,7 @@
     host.incarnation += 1
     node = daemon.assemble(host.cfg, build_edges(world, host.cfg.node))
     host.node = node
-    _note_versions(world, node)
+    _record_adoptions(world, node)
     scope = host.scope = trio.CancelScope()
     host.killed = trio.Event()
 
@@ -546,52 +561,52 @@
             try:
                 await daemon.run(node)
             except Exception as exc:
-                _note_crash(world, host, exc)
+                _record_crash(world, host, exc)
 
     world.nursery.start_soon(run)
     await announce(world, host)
 
 
-def _note_crash(world: World, host: Host, exc: Exception) -> None:
-    """End the node as the program would."""
+def _record_crash(world: World, host: Host, exc: Exception) -> None:
+    """Record an exception that ended a node, and kill the node as the program would exit."""
     world.crashes.append((host.cfg.node, "".join(traceback.format_exception(exc))))
     kill_node(world, host)
 
 
-def _note_versions(world: World, node: daemon.Node) -> None:
+def _record_adoptions(world: World, node: daemon.Node) -> None:
     owned = node.owned
     if owned is None:
         return
     adopt = owned.ports.adopt_config
 
-    def adopt_and_note(version: identity.ConfigVersion, body: bytes) -> None:
+    def adopt_and_record(version: identity.ConfigVersion, body: bytes) -> None:
         adopt(version, body)
-        # A restarted node begins anew; its versions are those of another process.
+        # A restarted node may begin at an older version, so each incarnation has a name of its own.
         name = identity.NodeId(f"{node.cfg.node}-{node.here.incarnation}")
-        world.versions.append((trio.current_time(), name, version))
+        world.adoptions.append((trio.current_time(), name, version))
 
-    owned.ports = dataclasses.replace(owned.ports, adopt_config=adopt_and_note)
+    owned.ports = dataclasses.replace(owned.ports, adopt_config=adopt_and_record)
 
 
 async def announce(world: World, host: Host) -> None:
-    """Let the target of a VM announce itself to its node.
+    """Announce the target of a VM to its node, if that is running.
 
     :param world: the mesh.
     :param host: the VM.
     """
     if host.node is None:
         return
-    entry = target.Announcement(
+    announcement = target.Announcement(
         address=identity.Address(f"{host.cfg.node}:target"),
         incarnation=identity.Incarnation(f"{host.cfg.node}-{host.incarnation}"),
         slots=host.toy.slots,
         is_cold=False,
     )
-    await monitor.take_announcement(host.node.monitor, entry)
+    await monitor.take_announcement(host.node.monitor, announcement)
 
 
 def kill_node(world: World, host: Host) -> None:
-    """End the node of a VM at once.
+    """Kill the node of a VM.
 
     :param world: the mesh.
     :param host: the VM.
@@ -605,7 +620,7 @@
 
 
 def kill_target(world: World, host: Host) -> None:
-    """End the target of a VM at once; its connections break.
+    """Kill the target of a VM; its connections break.
 
     :param world: the mesh.
     :param host: the VM.
@@ -617,7 +632,7 @@
 
 
 def pause_node(host: Host) -> None:
-    """Stop a node as if its process were suspended.
+    """Pause a node, as a suspended process.
 
     :param host: the VM.
     """
@@ -625,7 +640,7 @@
 
 
 def resume_node(host: Host) -> None:
-    """Let a paused node go on as if nothing had happened.
+    """Resume a paused node.
 
     :param host: the VM.
     """
@@ -635,19 +650,19 @@
 
 
 def silence(world: World, share: float) -> None:
-    """Make a share of the open connections silent for good.
+    """Make a random share of the open connections lose all later data.
 
     :param world: the mesh.
-    :param share: 0 to 1.
+    :param share: probability for each direction of a connection, 0 to 1.
     """
-    for link in world.streams:
+    for link in world.link_ends:
         if world.random.random() < share:
             link.is_silent = True
-    world.streams.clear()
+    world.link_ends.clear()
 
 
 def find_coordinator(world: World) -> identity.NodeId | None:
-    """Return the node that acts as coordinator with the highest term.
+    """Return the acting coordinator with the highest term, if there is one.
 
     :param world: the mesh.
     """
@@ -659,16 +674,16 @@
     return max(acting)[1] if acting else None
 
 
-def is_settled(world: World) -> bool:
-    """Return whether every live node knows an owner of every shard, and the owners serve.
+def is_converged(world: World) -> bool:
+    """Return whether every running node knows an owner of every shard that is serving it.
 
     :param world: the mesh.
     """
     nodes = [host.node for host in world.hosts.values() if host.node is not None]
-    return all(_is_node_settled(world, node) for node in nodes)
+    return all(_is_node_converged(world, node) for node in nodes)
 
 
-def _is_node_settled(world: World, node: daemon.Node) -> bool:
+def _is_node_converged(world: World, node: daemon.Node) -> bool:
     if node.snapshot is None or not lease.is_live(node.here.read_node(), trio.current_time()):
         return False
     state = node.here.read_node()
@@ -677,15 +692,15 @@
         host = None if owner is None else world.hosts.get(owner)
         if host is None or host.node is None:
             return False
-        held = host.node.here.read_node().holdings.get(shard)
-        if held is None or held.state is not lease.HoldingState.SERVING:
+        holding = host.node.here.read_node().holdings.get(shard)
+        if holding is None or holding.state is not lease.HoldingState.SERVING:
             return False
     return True
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """What a caller got. Status 0 means that the connection broke without a whole answer."""
+    """What a caller received. Status 0 means that it got no complete answer."""
 
     status: int
     headers: dict[str, str]
@@ -693,7 +708,7 @@
 
     @property
     def verdict(self) -> str:
-        """Return the outcome header, empty if there was none."""
+        """Return the value of the outcome header, or an empty string."""
         return self.headers.get("ebonyvalve-outcome", "")
 
 
@@ -707,7 +722,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 5.0,
 ) -> Answer:
-    """Make one request as a caller.
+    """Send one request as a caller and return the answer.
 
     :param world: the mesh.
     :param node: the node that the caller connects to.
@@ -715,7 +730,7 @@
     :param path: the request target.
     :param body: the whole body.
     :param headers: headers to add.
-    :param timeout_s: when the caller gives up, in seconds.
+    :param timeout_s: seconds after which the caller gives up.
     """
     with trio.move_on_after(timeout_s):
         try:
@@ -727,8 +742,8 @@
             pairs = [("host", "x"), ("content-length", str(len(body))), *(headers or {}).items()]
             head = h11.Request(method=method, target=path, headers=pairs)
             await wire.send(conn, head, h11.Data(data=body), h11.EndOfMessage())
-            status, answered, content = await demo.read_answer(conn)
-            return Answer(status=status, headers=answered, body=content)
+            status, answer_headers, answer_body = await demo.read_answer(conn)
+            return Answer(status=status, headers=answer_headers, body=answer_body)
         finally:
             with trio.CancelScope(shield=True):
                 await wire.close(conn)
@@ -756,8 +771,8 @@
     return owned
 
 
-def read_duty(world: World) -> ownership.Leadership | None:
-    """Return the state of the acting coordinator.
+def read_leadership(world: World) -> ownership.Leadership | None:
+    """Return the state that the acting coordinator keeps as such, if there is one.
 
     :param world: the mesh.
     """
