--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Commands that print the tables of docs/measurements.md."""
+"""Simulations and measurements; the commands print the tables of docs/measurements.md."""
--- a/bench/events.py
+++ b/bench/events.py
@@ -1,4 +1,7 @@
-"""A discrete event loop and targets with random service times, for the tables of decisions."""
+"""A discrete-event simulation of targets with random service times.
+
+Used by bench.cold, bench.retries and bench.stragglers. Times are in seconds of simulated time.
+"""
 
 import collections
 import collections.abc
@@ -11,94 +14,97 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Loop:
-    """Simulated time and the actions that are due."""
+class EventLoop:
+    """Simulated time and the heap of scheduled actions; ``order`` breaks ties of equal times."""
 
-    draw: random.Random
+    rng: random.Random
     now: float = 0.0
-    due: list[tuple[float, int, Action]] = dataclasses.field(default_factory=list)
+    schedule: list[tuple[float, int, Action]] = dataclasses.field(default_factory=list)
     order: collections.abc.Iterator[int] = dataclasses.field(default_factory=itertools.count)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Server:
-    """A target: ``slots`` requests run at once, the others wait in it.
+    """A target: ``slots`` requests run at once, the others wait in its queue.
 
-    ``slow`` multiplies service times. Above ``bearable`` requests, the target sheds or, if
-    ``is_thrashing``, slows down in proportion. ``over`` counts requests above it.
+    ``slowdown`` multiplies service times, whose mean is ``mean_s``. With more than ``capacity``
+    requests, running and waiting, the target sheds new ones or, if ``is_thrashing``, slows down in
+    proportion. ``overload_count`` counts the requests beyond the capacity, and ``worst_ratio`` is
+    the highest number of requests over the capacity. ``busy_s`` is the time during which a request
+    ran, up to the start of the present busy period at ``busy_since``.
     """
 
     slots: int
     mean_s: float
-    slow: float = 1.0
-    bearable: float = float("inf")
+    slowdown: float = 1.0
+    capacity: float = float("inf")
     is_thrashing: bool = False
     running: int = 0
     received: int = 0
-    over: int = 0
-    worst: float = 0.0
+    overload_count: int = 0
+    worst_ratio: float = 0.0
     busy_s: float = 0.0
     busy_since: float = 0.0
     waiting: collections.deque[list[Action]] = dataclasses.field(default_factory=collections.deque)
 
 
-def call_at(loop: Loop, at: float, action: Action) -> None:
-    """Run an action at a simulated time.
+def call_at(loop: EventLoop, at: float, action: Action) -> None:
+    """Schedule an action.
 
     :param loop: the event loop.
-    :param at: seconds of simulated time.
-    :param action: what is run.
+    :param at: when it runs, in seconds of simulated time.
+    :param action: the action.
     """
-    heapq.heappush(loop.due, (at, next(loop.order), action))
+    heapq.heappush(loop.schedule, (at, next(loop.order), action))
 
 
-def run_until(loop: Loop, end: float) -> None:
-    """Run all actions that are due before a time.
+def run_until(loop: EventLoop, end: float) -> None:
+    """Advance the simulated time and run all actions scheduled before its new value.
 
     :param loop: the event loop.
-    :param end: seconds of simulated time.
+    :param end: the new value, in seconds of simulated time.
     """
-    while loop.due and loop.due[0][0] < end:
-        loop.now, _, action = heapq.heappop(loop.due)
+    while loop.schedule and loop.schedule[0][0] < end:
+        loop.now, _, action = heapq.heappop(loop.schedule)
         action()
     loop.now = end
 
 
-def arrive(loop: Loop, rate: float, until: float, action: Action) -> None:
-    """Run an action at random times with a mean rate.
+def schedule_arrivals(loop: EventLoop, rate: float, until: float, action: Action) -> None:
+    """Run an action at random times, as a Poisson process.
 
     :param loop: the event loop.
-    :param rate: per second.
-    :param until: seconds of simulated time after which no more come.
-    :param action: what is run.
+    :param rate: mean number of arrivals per second.
+    :param until: end of the arrivals, in seconds of simulated time.
+    :param action: the action.
     """
 
-    def again() -> None:
+    def run_and_schedule_next() -> None:
         action()
-        next_at = loop.now + loop.draw.expovariate(rate)
+        next_at = loop.now + loop.rng.expovariate(rate)
         if next_at < until:
-            call_at(loop, next_at, again)
+            call_at(loop, next_at, run_and_schedule_next)
 
-    call_at(loop, loop.now + loop.draw.expovariate(rate), again)
+    call_at(loop, loop.now + loop.rng.expovariate(rate), run_and_schedule_next)
 
 
 def serve(
-    loop: Loop, server: Server, done: collections.abc.Callable[[bool], None]
+    loop: EventLoop, server: Server, done: collections.abc.Callable[[bool], None]
 ) -> collections.abc.Callable[[], None]:
     """Send a request to a target and return a function that cancels it.
 
     :param loop: the event loop.
     :param server: the target.
-    :param done: called with whether the request ran rather than being shed.
+    :param done: called at the end, with whether the request ran rather than being shed.
     """
-    inside = server.running + len(server.waiting) + 1
+    present = server.running + len(server.waiting) + 1
     server.received += 1
-    server.worst = max(server.worst, inside / server.bearable)
-    server.over += inside > server.bearable
-    if inside > server.bearable and not server.is_thrashing:
+    server.worst_ratio = max(server.worst_ratio, present / server.capacity)
+    server.overload_count += present > server.capacity
+    if present > server.capacity and not server.is_thrashing:
         call_at(loop, loop.now, lambda: done(False))
         return lambda: None
-    job: list[Action] = [lambda: done(True)]
+    pending: list[Action] = [lambda: done(True)]
     is_running = False
 
     def start() -> None:
@@ -107,16 +113,16 @@
         if server.running == 0:
             server.busy_since = loop.now
         server.running += 1
-        service_s = loop.draw.expovariate(1 / server.mean_s) * 0.5 + server.mean_s * 0.5
-        crowd = max(1.0, (server.running + len(server.waiting)) / server.bearable)
-        call_at(loop, loop.now + service_s * server.slow * crowd, end)
+        service_s = loop.rng.expovariate(1 / server.mean_s) * 0.5 + server.mean_s * 0.5
+        congestion = max(1.0, (server.running + len(server.waiting)) / server.capacity)
+        call_at(loop, loop.now + service_s * server.slowdown * congestion, end)
 
     def end() -> None:
-        if job:
-            leave()
-            job.pop()()
+        if pending:
+            free_slot()
+            pending.pop()()
 
-    def leave() -> None:
+    def free_slot() -> None:
         server.running -= 1
         if server.running == 0:
             server.busy_s += loop.now - server.busy_since
@@ -124,19 +130,19 @@
             server.waiting.popleft()[0]()
 
     def cancel() -> None:
-        if not job:
+        if not pending:
             return
-        job.clear()
+        pending.clear()
         if is_running:
-            leave()
+            free_slot()
         else:
-            server.waiting.remove(waiter)
+            server.waiting.remove(queued_start)
 
-    waiter: list[Action] = [start]
+    queued_start: list[Action] = [start]
     if server.running < server.slots:
         start()
     else:
-        server.waiting.append(waiter)
+        server.waiting.append(queued_start)
     return cancel
 
 
@@ -144,14 +150,14 @@
     """Return a quantile of the values, or 0 if there are none.
 
     :param values: in any order.
-    :param share: for example 0.99.
+    :param share: the quantile, 0 to 1.
     """
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))] if ordered else 0.0
 
 
-def read_busy(loop: Loop, server: Server) -> float:
-    """Return for how many seconds the target has worked.
+def read_busy(loop: EventLoop, server: Server) -> float:
+    """Return for how many seconds at least one request has run at the target.
 
     :param loop: the event loop.
     :param server: the target.
--- a/bench/retries.py
+++ b/bench/retries.py
@@ -1,4 +1,4 @@
-"""Load multiplication by retries under an outage, with and without the retry budget."""
+"""Simulates how retries multiply the load in an outage, with and without the retry budget."""
 
 import collections.abc
 import dataclasses
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outage:
-    """Which share of the attempts fails, and how."""
+    """The share of attempts that fail, 0 to 1, and how they fail."""
 
     name: str
     share: float
@@ -29,8 +29,8 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Count:
-    """What one run counted."""
+class Counts:
+    """Requests, attempts and answers of one run."""
 
     requests: int = 0
     attempts: int = 0
@@ -48,8 +48,8 @@
 
 
 def submit(
-    loop: events.Loop,
-    count: Count,
+    loop: events.EventLoop,
+    counts: Counts,
     outage: Outage,
     buckets: list[budget.Budget],
     targets: int,
@@ -57,40 +57,40 @@
     """Send one idempotent request with its retries.
 
     :param loop: the event loop.
-    :param count: what is counted.
+    :param counts: updated in place.
     :param outage: how attempts fail.
     :param buckets: the retry budgets of the nodes.
-    :param targets: targets of the service.
+    :param targets: number of targets of the service.
     """
-    bucket = loop.draw.choice(buckets)
+    bucket = loop.rng.choice(buckets)
     budget.credit(bucket)
-    count.requests += 1
+    counts.requests += 1
     deadline = loop.now + DEADLINE_S
     attempts = 0
 
     def attempt() -> None:
         nonlocal attempts
         attempts += 1
-        count.attempts += 1
+        counts.attempts += 1
         events.call_at(loop, loop.now + REPLY_S, reply)
 
     def reply() -> None:
-        if loop.draw.random() >= outage.share:
-            count.answered += 1
+        if loop.rng.random() >= outage.share:
+            counts.answered += 1
             return
-        has_other = attempts < targets
+        has_other_target = attempts < targets
         decision = retry.decide(
             outage.result,
             is_idempotent=True,
             is_body_held=True,
             is_reply_started=False,
-            has_other_target=has_other,
+            has_other_target=has_other_target,
             attempts=attempts,
             remaining_s=deadline - loop.now,
             bucket=bucket,
         )
         if decision is retry.Retry.RETRY:
-            delay_s = retry.delay(attempts, loop.draw.random(), has_other_target=has_other)
+            delay_s = retry.delay(attempts, loop.rng.random(), has_other_target=has_other_target)
             events.call_at(loop, loop.now + delay_s, attempt)
 
     attempt()
@@ -98,31 +98,33 @@
 
 def measure(
     outage: Outage,
-    make: collections.abc.Callable[[], budget.Budget],
+    make_budget: collections.abc.Callable[[], budget.Budget],
     rate: float,
     targets: int,
     seed: int,
-) -> Count:
-    """Run an outage.
+) -> Counts:
+    """Simulate an outage and return the counts.
 
     :param outage: how attempts fail.
-    :param make: makes the retry budget of a node.
+    :param make_budget: returns the retry budget of a node.
     :param rate: requests per second.
-    :param targets: targets of the service.
-    :param seed: of the random numbers.
+    :param targets: number of targets of the service.
+    :param seed: seeds the random numbers.
     """
-    loop = events.Loop(draw=random.Random(seed))
-    count = Count()
-    buckets = [make() for _ in range(NODES)]
-    events.arrive(loop, rate, OUTAGE_S, lambda: submit(loop, count, outage, buckets, targets))
+    loop = events.EventLoop(rng=random.Random(seed))
+    counts = Counts()
+    buckets = [make_budget() for _ in range(NODES)]
+    events.schedule_arrivals(
+        loop, rate, OUTAGE_S, lambda: submit(loop, counts, outage, buckets, targets)
+    )
     events.run_until(loop, OUTAGE_S + DEADLINE_S)
-    return count
+    return counts
 
 
 def run(*, seed: int = 1) -> None:
     """Print attempts per request during outages.
 
-    :param seed: of the random numbers.
+    :param seed: seeds the random numbers.
     """
     print(f"seed {seed}, {NODES} nodes, outage of {OUTAGE_S:.0f} s, load {LOAD:.0%},")
     print(f"budget {budget.RETRY_SHARE:.0%} of requests and a burst of {budget.BURST:.0f} per node")
@@ -132,15 +134,17 @@
     )
     for service, targets, slots in SERVICES:
         for outage in OUTAGES:
-            for name, make in (
+            for name, make_budget in (
                 ("no", lambda: budget.Budget(share=1.0, burst=1e9, level=1e9)),
                 ("yes", lambda: budget.Budget(share=budget.RETRY_SHARE)),
             ):
-                count = measure(outage, make, targets * slots / MEAN_S * LOAD, targets, seed)
+                counts = measure(
+                    outage, make_budget, targets * slots / MEAN_S * LOAD, targets, seed
+                )
                 print(
-                    f"{service:<10}{outage.name:<16}{name:<8}{count.requests:>9}"
-                    f"{count.attempts:>9}{count.attempts / count.requests:>8.3f}"
-                    f"{count.answered / count.requests:>10.2%}"
+                    f"{service:<10}{outage.name:<16}{name:<8}{counts.requests:>9}"
+                    f"{counts.attempts:>9}{counts.attempts / counts.requests:>8.3f}"
+                    f"{counts.answered / counts.requests:>10.2%}"
                 )
 
 
--- a/bench/stragglers.py
+++ b/bench/stragglers.py
@@ -1,4 +1,4 @@
-"""Latency of services without keys while one target takes ten times as long."""
+"""Simulates the latency of services without keys while one target is ten times slower."""
 
 import collections.abc
 import dataclasses
@@ -19,13 +19,17 @@
 END_S = 13.0
 SLOWDOWN = 10.0
 DEADLINE_S = 0.4
+# The 99th percentile with a straggler may be at most this multiple of the one without.
 BOUND = 1.5
-SAME_ZONE_S = 0.0003
+WITHIN_ZONE_S = 0.0003
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """Sizes of section 1 of the design page."""
+    """A service, with the sizes given in section 1 of the design page.
+
+    ``between_zones_s`` is the round-trip time between zones in seconds.
+    """
 
     name: str
     targets: int
@@ -36,11 +40,17 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Node:
-    """A node's own view, and the admission to the target beside it."""
+    """The state of a node, and its target if it has one.
+
+    ``in_flight`` and ``target_latencies`` hold its open requests and latencies for each target.
+    ``queued`` holds the requests that wait for admission to its own target.
+    """
 
     node: identity.NodeId
     zone: identity.ZoneId
-    book: straggler.ServiceLatencies = dataclasses.field(default_factory=straggler.ServiceLatencies)
+    target_latencies: straggler.ServiceLatencies = dataclasses.field(
+        default_factory=straggler.ServiceLatencies
+    )
     in_flight: dict[identity.NodeId, int] = dataclasses.field(default_factory=dict)
     retries: budget.Budget = dataclasses.field(
         default_factory=lambda: budget.Budget(share=budget.RETRY_SHARE)
@@ -57,9 +67,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Mesh:
-    """All nodes with the counts of one run."""
+    """All nodes and the counts of one run. ``latencies`` are in seconds."""
 
-    loop: events.Loop
+    loop: events.EventLoop
     deployment: Deployment
     nodes: dict[identity.NodeId, Node]
     members: dict[identity.NodeId, message.Member]
@@ -75,7 +85,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Request:
-    """One request with its open attempts."""
+    """One request; ``open`` holds a function that cancels each open attempt."""
 
     node: Node
     started_at: float
@@ -86,15 +96,15 @@
 
 
 DEPLOYMENTS = [
-    # ordenes has the same sizes.
+    # The service ordenes has the same sizes.
     Deployment(name="paquetes", targets=4, slots=10, zones=4, between_zones_s=0.0015),
     Deployment(name="reservations", targets=5, slots=6, zones=3, between_zones_s=0.0005),
     Deployment(name="archives", targets=3, slots=6, zones=3, between_zones_s=0.0005),
 ]
 
 
-def list_others(mesh: Mesh, tried: frozenset[identity.NodeId]) -> list[identity.NodeId]:
-    """Return the nodes with a target that was not tried, or all of them.
+def list_candidates(mesh: Mesh, tried: frozenset[identity.NodeId]) -> list[identity.NodeId]:
+    """Return the nodes whose targets were not tried yet, or all with a target if none is left.
 
     :param mesh: the nodes.
     :param tried: nodes that the request was sent to.
@@ -103,29 +113,29 @@
 
 
 def make_random() -> collections.abc.Callable[..., identity.NodeId | None]:
-    """Return a policy that draws any target."""
-    return lambda mesh, node, tried: mesh.loop.draw.choice(list_others(mesh, tried))
+    """Return a policy that picks a random target."""
+    return lambda mesh, node, tried: mesh.loop.rng.choice(list_candidates(mesh, tried))
 
 
 def make_round_robin() -> collections.abc.Callable[..., identity.NodeId | None]:
-    """Return a policy by which each node takes the targets in turn."""
+    """Return a policy by which each node picks the targets in turn."""
     turns: dict[identity.NodeId, collections.abc.Iterator[int]] = {}
 
     def pick(mesh: Mesh, node: Node, tried: frozenset[identity.NodeId]) -> identity.NodeId:
-        others = list_others(mesh, tried)
-        turn = turns.setdefault(node.node, itertools.count(mesh.loop.draw.randrange(60)))
-        return others[next(turn) % len(others)]
+        candidates = list_candidates(mesh, tried)
+        turn = turns.setdefault(node.node, itertools.count(mesh.loop.rng.randrange(60)))
+        return candidates[next(turn) % len(candidates)]
 
     return pick
 
 
 def make_least_connections() -> collections.abc.Callable[..., identity.NodeId | None]:
-    """Return a policy that takes the target with the fewest requests of this node."""
+    """Return a policy that picks the target with the fewest open requests of the node."""
 
     def pick(mesh: Mesh, node: Node, tried: frozenset[identity.NodeId]) -> identity.NodeId:
-        others = list_others(mesh, tried)
-        mesh.loop.draw.shuffle(others)
-        return min(others, key=lambda name: node.in_flight.get(name, 0))
+        candidates = list_candidates(mesh, tried)
+        mesh.loop.rng.shuffle(candidates)
+        return min(candidates, key=lambda name: node.in_flight.get(name, 0))
 
     return pick
 
@@ -135,11 +145,11 @@
 
     def pick(mesh: Mesh, node: Node, tried: frozenset[identity.NodeId]) -> identity.NodeId | None:
         def find_load(name: identity.NodeId) -> routing.TargetLoad:
-            latency = node.book.targets.get(name)
+            latency = node.target_latencies.targets.get(name)
             return routing.TargetLoad(
                 in_flight=node.in_flight.get(name, 0),
                 latency_s=None if latency is None else latency.mean_s,
-                is_bypassed=straggler.is_bypassed(node.book, name),
+                is_bypassed=straggler.is_bypassed(node.target_latencies, name),
             )
 
         view = routing.View(
@@ -149,7 +159,7 @@
             find_fence=lambda shard: None,
             find_load=find_load,
             members=mesh.members,
-            draw=mesh.loop.draw.randrange,
+            draw=mesh.loop.rng.randrange,
         )
         route = routing.choose(view, SERVICE, shard=None, tried=tried)
         return node.node if route.choice is routing.Choice.LOCAL else route.node
@@ -168,16 +178,18 @@
 
 def build(
     deployment: Deployment,
-    make: collections.abc.Callable[[], collections.abc.Callable[..., identity.NodeId | None]],
+    make_policy: collections.abc.Callable[
+        [], collections.abc.Callable[..., identity.NodeId | None]
+    ],
     is_hedged: bool,
     seed: int,
 ) -> Mesh:
-    """Return the nodes of a deployment; the first ones have a target of the service beside them.
+    """Return the nodes of a deployment; the first ones have a target of the service.
 
     :param deployment: its sizes.
-    :param make: makes the policy.
+    :param make_policy: returns the policy.
     :param is_hedged: whether requests are hedged.
-    :param seed: of the random numbers.
+    :param seed: seeds the random numbers.
     """
     nodes = {}
     members = {}
@@ -199,11 +211,11 @@
                 is_target_up=True,
             )
     return Mesh(
-        loop=events.Loop(draw=random.Random(seed)),
+        loop=events.EventLoop(rng=random.Random(seed)),
         deployment=deployment,
         nodes=nodes,
         members=members,
-        pick=make(),
+        pick=make_policy(),
         is_hedged=is_hedged,
     )
 
@@ -213,7 +225,7 @@
 
     :param mesh: the nodes.
     """
-    node = mesh.nodes[mesh.loop.draw.choice(list(mesh.nodes))]
+    node = mesh.nodes[mesh.loop.rng.choice(list(mesh.nodes))]
     request = Request(node=node, started_at=mesh.loop.now)
     budget.credit(node.retries)
     budget.credit(node.hedges)
@@ -225,7 +237,7 @@
         is_idempotent=True,
         is_body_held=True,
         has_other_target=True,
-        p95_s=straggler.read_quantile(node.book, 0.95),
+        p95_s=straggler.read_quantile(node.target_latencies, 0.95),
         remaining_s=DEADLINE_S,
     )
     if mesh.is_hedged and hedge_s is not None:
@@ -286,12 +298,16 @@
         return
     request.attempts += 1
     request.tried |= {name}
-    number, sent_at, beside = request.attempts, loop.now, mesh.nodes[name]
-    is_near = beside.zone == node.zone
-    way_s = 0.0 if beside is node else SAME_ZONE_S if is_near else mesh.deployment.between_zones_s
-    way_s /= 2
+    number, sent_at, target_node = request.attempts, loop.now, mesh.nodes[name]
+    is_same_zone = target_node.zone == node.zone
+    hop_s = (
+        0.0
+        if target_node is node
+        else WITHIN_ZONE_S if is_same_zone else mesh.deployment.between_zones_s
+    )
+    hop_s /= 2
     node.in_flight[name] = node.in_flight.get(name, 0) + 1
-    stop: list[collections.abc.Callable[[], None]] = []
+    cancel_actions: list[collections.abc.Callable[[], None]] = []
 
     def close() -> None:
         node.in_flight[name] -= 1
@@ -299,15 +315,15 @@
 
     def cancel() -> None:
         close()
-        straggler.record(node.book, name, loop.now - sent_at, is_complete=False)
-        events.call_at(loop, loop.now + way_s, lambda: run_all(stop))
+        straggler.record(node.target_latencies, name, loop.now - sent_at, is_complete=False)
+        events.call_at(loop, loop.now + hop_s, lambda: run_all(cancel_actions))
 
     def reply(has_run: bool) -> None:
         if number not in request.open:
             return
         close()
         if has_run:
-            straggler.record(node.book, name, loop.now - sent_at)
+            straggler.record(node.target_latencies, name, loop.now - sent_at)
             end(mesh, request, True)
             return
         decision = retry.decide(
@@ -330,32 +346,32 @@
 
     def arrive() -> None:
         if number in request.open:
-            stop.append(
-                enter(
+            cancel_actions.append(
+                admit(
                     loop,
-                    beside,
+                    target_node,
                     deadline,
-                    lambda ran: events.call_at(loop, loop.now + way_s, lambda: reply(ran)),
+                    lambda has_run: events.call_at(loop, loop.now + hop_s, lambda: reply(has_run)),
                 )
             )
 
-    events.call_at(loop, loop.now + way_s, arrive)
+    events.call_at(loop, loop.now + hop_s, arrive)
 
 
-def enter(
-    loop: events.Loop,
-    beside: Node,
+def admit(
+    loop: events.EventLoop,
+    target_node: Node,
     deadline: float,
     done: collections.abc.Callable[[bool], None],
 ) -> collections.abc.Callable[[], None]:
-    """Pass a request through admission to the target and return a function that cancels it.
+    """Pass a request through admission control to a target; return a function that cancels it.
 
     :param loop: the event loop.
-    :param beside: the node beside the target.
-    :param deadline: seconds of simulated time.
-    :param done: called with whether the request ran.
+    :param target_node: the node of the target.
+    :param deadline: in seconds of simulated time.
+    :param done: called at the end, with whether the request ran.
     """
-    target, server = beside.target, beside.server
+    target, server = target_node.target, target_node.server
     assert target is not None and server is not None
     answer = limit.admit(target, now=loop.now, deadline=deadline)
     ticket = answer.ticket
@@ -363,19 +379,19 @@
         done(False)
         return lambda: None
     started_at = loop.now
-    stop: list[collections.abc.Callable[[], None]] = []
+    cancel_actions: list[collections.abc.Callable[[], None]] = []
 
     def leave(reply: limit.Reply) -> None:
         wake = limit.release(
             target, ticket, now=loop.now, latency_s=loop.now - started_at, reply=reply
         )
-        for other in wake.expired:
-            beside.queued.pop(other)(False)
-        for other in wake.run:
-            beside.queued.pop(other)(True)
+        for queued_ticket in wake.expired:
+            target_node.queued.pop(queued_ticket)(False)
+        for queued_ticket in wake.run:
+            target_node.queued.pop(queued_ticket)(True)
 
     def finish(has_run: bool) -> None:
-        stop.clear()
+        cancel_actions.clear()
         leave(limit.Reply.OK if has_run else limit.Reply.SHED)
         done(has_run)
 
@@ -383,27 +399,27 @@
         nonlocal started_at
         started_at = loop.now
         if is_admitted:
-            stop.append(events.serve(loop, server, finish))
+            cancel_actions.append(events.serve(loop, server, finish))
         else:
             done(False)
 
     def cancel() -> None:
-        if ticket in beside.queued:
+        if ticket in target_node.queued:
             limit.withdraw(target, ticket)
-            del beside.queued[ticket]
-        elif stop:
-            stop.pop()()
+            del target_node.queued[ticket]
+        elif cancel_actions:
+            cancel_actions.pop()()
             leave(limit.Reply.ABANDONED)
 
     if answer.admission is limit.Admission.RUN:
         start(True)
     else:
-        beside.queued[ticket] = start
+        target_node.queued[ticket] = start
     return cancel
 
 
 def measure(mesh: Mesh, has_straggler: bool) -> None:
-    """Run a mesh; measurement and straggler start after a warm-up.
+    """Run a mesh; requests count, and the straggler slows down, after a warm-up of ``START_S``.
 
     :param mesh: the nodes.
     :param has_straggler: whether the first target slows down.
@@ -413,22 +429,22 @@
     assert first is not None
 
     def slow_down() -> None:
-        first.slow = SLOWDOWN
+        first.slowdown = SLOWDOWN
 
     if has_straggler:
         events.call_at(mesh.loop, START_S, slow_down)
     rate = deployment.targets * deployment.slots / MEAN_S * LOAD
-    # Slow start needs lighter load first.
-    events.arrive(mesh.loop, rate * 0.2, START_S / 2, lambda: submit(mesh))
+    # During slow start, the targets can take only a lighter load.
+    events.schedule_arrivals(mesh.loop, rate * 0.2, START_S / 2, lambda: submit(mesh))
     events.run_until(mesh.loop, START_S / 2)
-    events.arrive(mesh.loop, rate, END_S, lambda: submit(mesh))
+    events.schedule_arrivals(mesh.loop, rate, END_S, lambda: submit(mesh))
     events.run_until(mesh.loop, END_S + DEADLINE_S)
 
 
 def run(*, seed: int = 1) -> None:
     """Print the 99th percentile for each policy, without and with a straggler.
 
-    :param seed: of the random numbers.
+    :param seed: seeds the random numbers.
     """
     print(f"seed {seed}, {NODES} nodes, load {LOAD:.0%}, mean service {MEAN_S * 1e3:.0f} ms,")
     print(f"straggler {SLOWDOWN:.0f}x, bound {BOUND} x the p99 without it")
@@ -438,17 +454,19 @@
     )
     print(f"{'':<37}{'without':>8}{'straggler':>10}{'':>7}{'without':>9}{'straggler':>10}")
     for deployment in DEPLOYMENTS:
-        for name, make, is_hedged in POLICIES:
+        for name, make_policy, is_hedged in POLICIES:
             meshes = []
             for has_straggler in (False, True):
-                mesh = build(deployment, make, is_hedged, seed)
+                mesh = build(deployment, make_policy, is_hedged, seed)
                 measure(mesh, has_straggler)
                 meshes.append(mesh)
-            without, with_one = (events.read_quantile(mesh.latencies, 0.99) for mesh in meshes)
+            without, with_straggler = (
+                events.read_quantile(mesh.latencies, 0.99) for mesh in meshes
+            )
             failed = [mesh.failed / mesh.requests for mesh in meshes]
             print(
-                f"{deployment.name:<13}{name:<24}{without * 1e3:>8.1f}{with_one * 1e3:>10.1f}"
-                f"{with_one / without:>7.2f}{failed[0]:>9.2%}{failed[1]:>10.2%}"
+                f"{deployment.name:<13}{name:<24}{without * 1e3:>8.1f}{with_straggler * 1e3:>10.1f}"
+                f"{with_straggler / without:>7.2f}{failed[0]:>9.2%}{failed[1]:>10.2%}"
                 f"{meshes[1].hedged / meshes[1].requests:>8.2%}"
             )
 
