--- a/bench/model.py
+++ b/bench/model.py
@@ -1,4 +1,4 @@
-"""A model of one cell for the benches: keys, owners, and the effect of plans."""
+"""A model of one cell for the placement benches: keys, their owners and the effect of plans."""
 
 import collections.abc
 import dataclasses
@@ -7,20 +7,21 @@
 from ebonyvalve.process import assignment, identity, message
 from ebonyvalve.version import objects, placement, route
 
-# Time between two rounds, as at the coordinator; a planned move is visible in the next one.
+# Time between two placement rounds, as at the coordinator; planned moves show in the next round.
 ROUND_S = 1.0
-# Mean load as a part of all slots.
+# Mean load as a share of all slots.
 UTILISATION = 0.6
-# With this many keys at exponent 1.0 the hottest carries 8% of the load: half the share of one of
-# six targets, so that no single key exceeds a target's share.
+# Key loads follow a Zipf distribution. With this many keys at exponent 1.0 the hottest carries 8%
+# of all load, which is half the share of one of six targets: no key exceeds a target's share.
 KEYS = 100_000
 EXPONENT = 1.0
+# Number of hot keys that :func:`change_hot_keys` replaces.
 HOT_CHANGED = 61
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """A keyed service and the zones of its instances."""
+    """A keyed service and the zone of each of its instances."""
 
     name: str
     service: identity.ServiceId
@@ -29,7 +30,7 @@
     partitions: int = 256
 
 
-# How the instances are spread over the zones is not known; they are spread evenly here.
+# The real distribution of the instances over zones is not known; an even one is assumed.
 ANDINAFLOTA = Deployment(
     name="Andinaflota",
     service=identity.ServiceId("inventario"),
@@ -47,12 +48,12 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Cell:
-    """The nodes of a service, the load of its keys, and who owns what."""
+    """The nodes of a service, the load of its keys, and the owner of each shard."""
 
     service: objects.Service
     members: dict[identity.NodeId, message.Member]
     owners: dict[identity.ShardId, identity.NodeId | None]
-    # Load and partition of each key; position in the list is not rank after a change.
+    # Keys with their loads and partitions, sorted by load until the first change of the hot keys.
     keys: list[identity.KeyId]
     rates: list[float]
     parents: list[identity.ShardId]
@@ -63,7 +64,7 @@
 def build_cell(deployment: Deployment, rng: random.Random, keys: int = KEYS) -> Cell:
     """Return a cell without owners.
 
-    :param deployment: its size.
+    :param deployment: its service and nodes.
     :param rng: draws the names of the keys.
     :param keys: the number of keys.
     """
@@ -103,14 +104,16 @@
 
 
 def change_hot_keys(cell: Cell, rng: random.Random) -> None:
-    """Give the load of the hottest keys to as many keys outside the hottest 1000.
+    """Swap the loads of the hottest keys with those of as many keys outside the hottest 1000.
 
     :param cell: changed in place.
     :param rng: draws the keys.
     """
-    ranked = sorted(range(len(cell.rates)), key=lambda index: -cell.rates[index])
-    for old, new in zip(ranked[:HOT_CHANGED], rng.sample(ranked[1000:], HOT_CHANGED), strict=True):
-        cell.rates[old], cell.rates[new] = cell.rates[new], cell.rates[old]
+    by_load = sorted(range(len(cell.rates)), key=lambda index: -cell.rates[index])
+    for hot, cold in zip(
+        by_load[:HOT_CHANGED], rng.sample(by_load[1000:], HOT_CHANGED), strict=True
+    ):
+        cell.rates[hot], cell.rates[cold] = cell.rates[cold], cell.rates[hot]
 
 
 def find_shards(cell: Cell) -> list[identity.ShardId]:
@@ -118,10 +121,12 @@
 
     :param cell: the cell.
     """
-    apart = {
+    split_shards = {
         key: shard for shard in cell.owners if (key := identity.split_shard(shard)[2]) is not None
     }
-    return [apart.get(key, parent) for key, parent in zip(cell.keys, cell.parents, strict=True)]
+    return [
+        split_shards.get(key, parent) for key, parent in zip(cell.keys, cell.parents, strict=True)
+    ]
 
 
 def sum_loads(cell: Cell) -> dict[identity.ShardId, float]:
@@ -138,15 +143,15 @@
 def list_hot_shares(
     cell: Cell, loads: dict[identity.ShardId, float]
 ) -> dict[identity.ShardId, float]:
-    """Return the exact share that hot keys have of the load of their partition.
+    """Return the exact share of each hot key in the load of its partition.
 
     :param cell: the cell.
     :param loads: from :func:`sum_loads`.
     """
-    least = 0.03 * sum(cell.rates) / len(cell.members)
-    hot = [index for index, rate in enumerate(cell.rates) if rate >= least]
+    min_rate = 0.03 * sum(cell.rates) / len(cell.members)
+    hot_indexes = [index for index, rate in enumerate(cell.rates) if rate >= min_rate]
     shares = {}
-    for index in hot:
+    for index in hot_indexes:
         shard = identity.name_key(cell.service.name, cell.keys[index])
         if shard not in cell.owners:
             shares[shard] = cell.rates[index] / loads[cell.parents[index]]
@@ -158,20 +163,20 @@
 
     :param cell: the cell.
     :param loads: the exact loads.
-    :param nodes: the nodes in service.
+    :param nodes: the nodes to compare.
     """
-    by_node = dict.fromkeys(nodes, 0.0)
+    loads_by_node = dict.fromkeys(nodes, 0.0)
     for shard, owner in cell.owners.items():
-        if owner in by_node:
-            by_node[owner] += loads[shard]
-    return max(by_node.values()) * len(by_node) / sum(by_node.values())
+        if owner in loads_by_node:
+            loads_by_node[owner] += loads[shard]
+    return max(loads_by_node.values()) * len(loads_by_node) / sum(loads_by_node.values())
 
 
 def count_owned(cell: Cell, nodes: collections.abc.Container[str]) -> int:
     """Return the number of shards that some nodes own.
 
     :param cell: the cell.
-    :param nodes: the nodes.
+    :param nodes: the nodes to count.
     """
     return sum(owner in nodes for owner in cell.owners.values())
 
@@ -182,10 +187,10 @@
     loads: dict[identity.ShardId, float],
     hot_keys: dict[identity.ShardId, float],
 ) -> assignment.Plan:
-    """Plan one round, carry the plan out and let the time pass.
+    """Plan one round, apply the plan and advance the time.
 
     :param cell: changed in place.
-    :param place: the policy.
+    :param place: the placement policy.
     :param loads: the loads as reported.
     :param hot_keys: the shares of hot keys as reported.
     """
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""Simpler placement policies, kept to compare with: they look at names only, not at loads."""
+"""Baseline placement policies that hash names and ignore loads, for comparison."""
 
 import bisect
 import collections.abc
@@ -14,7 +14,7 @@
 
 
 def hash_text(text: str) -> int:
-    """Return the hash that all policies use.
+    """Return the hash value that all policies use.
 
     :param text: the text.
     """
@@ -22,7 +22,7 @@
 
 
 def choose_modulo(shard: identity.ShardId, nodes: list[identity.NodeId]) -> identity.NodeId:
-    """Choose by the hash modulo the number of nodes.
+    """Return the node at the hash modulo the number of nodes.
 
     :param shard: the shard.
     :param nodes: the eligible nodes, sorted.
@@ -31,7 +31,7 @@
 
 
 def choose_rendezvous(shard: identity.ShardId, nodes: list[identity.NodeId]) -> identity.NodeId:
-    """Choose the node with the highest hash together with the shard.
+    """Return the node with the highest hash of node and shard (rendezvous hashing).
 
     :param shard: the shard.
     :param nodes: the eligible nodes, sorted.
@@ -40,41 +40,47 @@
 
 
 def choose_on_ring(shard: identity.ShardId, nodes: list[identity.NodeId]) -> identity.NodeId:
-    """Choose the next virtual node on a hash ring.
+    """Return the node of the next virtual node on a hash ring (consistent hashing).
 
     :param shard: the shard.
     :param nodes: the eligible nodes, sorted.
     """
-    ring = sorted((hash_text(f"{node}#{n}"), node) for node in nodes for n in range(VIRTUAL_NODES))
+    ring = sorted(
+        (hash_text(f"{node}#{replica}"), node) for node in nodes for replica in range(VIRTUAL_NODES)
+    )
     return ring[bisect.bisect(ring, (hash_text(shard),)) % len(ring)][1]
 
 
 def build_place(snapshot: route.Snapshot, choose: Choose) -> assignment.PlaceShards:
-    """Return a policy that moves each shard to the node that the hash gives.
+    """Return a policy that moves each shard to the node chosen by a function.
 
     :param snapshot: a configuration with one service.
-    :param choose: the hash.
+    :param choose: returns the node of a shard.
     """
     (service,) = snapshot.services.values()
-    limits = placement.build_constraints(snapshot, service)
-    # The choice depends on the names only; it is computed once for each set of nodes.
-    known: dict[tuple[identity.NodeId, ...], dict[identity.ShardId, identity.NodeId]] = {}
+    constraints = placement.build_constraints(snapshot, service)
+    # The choice depends on names only, so it is computed once for each set of nodes.
+    choices: dict[tuple[identity.NodeId, ...], dict[identity.ShardId, identity.NodeId]] = {}
 
     def place(view: assignment.PlacementView) -> assignment.Plan:
         nodes = tuple(
-            sorted(n for n, member in view.members.items() if placement.is_eligible(member, limits))
+            sorted(
+                node
+                for node, member in view.members.items()
+                if placement.is_eligible(member, constraints)
+            )
         )
-        if nodes not in known:
-            known[nodes] = {shard: choose(shard, list(nodes)) for shard in view.owners}
+        if nodes not in choices:
+            choices[nodes] = {shard: choose(shard, list(nodes)) for shard in view.owners}
         moves = [
             assignment.Move(
                 shard=shard,
                 source=owner,
-                target=known[nodes][shard],
+                target=choices[nodes][shard],
                 reason=assignment.MoveReason.REBALANCE,
             )
             for shard, owner in view.owners.items()
-            if owner != known[nodes][shard]
+            if owner != choices[nodes][shard]
         ]
         return assignment.Plan(split=[], merge=[], moves=moves)
 
--- a/bench/round.py
+++ b/bench/round.py
@@ -1,4 +1,4 @@
-"""Prints the time and memory of one placement round."""
+"""Measures the time and memory of one placement round, for cells of several sizes."""
 
 import random
 import statistics
@@ -13,18 +13,18 @@
 
 ROUNDS = 100
 CELL_NODES = 24
-# Partitions per node as today: 256 over 6 instances.
+# As many partitions per node as a service with 256 partitions and 6 instances has.
 CELL_PARTITIONS = 1024
 
 
 def build_view(
     cell: model.Cell, loads: dict[identity.ShardId, float], rng: random.Random
 ) -> assignment.PlacementView:
-    """Return a view with noise of 10% on the loads.
+    """Return a placement view whose loads have a random error of up to 10%.
 
     :param cell: the cell.
     :param loads: the exact loads.
-    :param rng: draws the noise.
+    :param rng: draws the errors.
     """
     cell.now_s += model.ROUND_S
     return assignment.PlacementView(
@@ -37,10 +37,10 @@
 
 
 def measure(deployment: model.Deployment, seed: int) -> list[str]:
-    """Return the row of a size.
+    """Return the table row of a cell.
 
-    :param deployment: the size.
-    :param seed: the seed of keys and noise.
+    :param deployment: the size of the cell.
+    :param seed: seeds the keys and the errors of loads.
     """
     rng = random.Random(seed)
     cell = model.build_cell(deployment, rng, keys=20_000)
@@ -49,12 +49,12 @@
     for _ in range(40):
         loads = model.sum_loads(cell)
         model.run_round(cell, place, loads, model.list_hot_shares(cell, loads))
-    quiet = []
+    quiet_times = []
     for _ in range(ROUNDS):
         view = build_view(cell, loads, rng)
         start_s = time.perf_counter()
         place(view)
-        quiet.append(time.perf_counter() - start_s)
+        quiet_times.append(time.perf_counter() - start_s)
     tracemalloc.start()
     view = build_view(cell, loads, rng)
     before, _ = tracemalloc.get_traced_memory()
@@ -62,23 +62,23 @@
     place(view)
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    # The node with the most shards; others may carry one hot key alone.
-    lost = max(cell.members, key=lambda node: model.count_owned(cell, [node]))
-    del cell.members[lost]
+    # Remove the node with the most shards; other nodes may own only one hot key.
+    lost_node = max(cell.members, key=lambda node: model.count_owned(cell, [node]))
+    del cell.members[lost_node]
     for shard, owner in cell.owners.items():
-        cell.owners[shard] = None if owner == lost else owner
+        cell.owners[shard] = None if owner == lost_node else owner
     view = build_view(cell, loads, rng)
     start_s = time.perf_counter()
     moves = len(place(view).moves)
-    loss = time.perf_counter() - start_s
-    quiet_ms = statistics.median(quiet) * 1000.0
+    loss_round_s = time.perf_counter() - start_s
+    quiet_ms = statistics.median(quiet_times) * 1000.0
     return [
         str(len(deployment.zones)),
         str(len(cell.owners)),
         f"{quiet_ms:.1f}",
-        f"{max(quiet) * 1000.0:.1f}",
+        f"{max(quiet_times) * 1000.0:.1f}",
         str(moves),
-        f"{loss * 1000.0:.1f}",
+        f"{loss_round_s * 1000.0:.1f}",
         f"{(peak - before) / 1024.0:.0f}",
         f"{quiet_ms / 1000.0 / model.ROUND_S * 100.0:.1f}",
     ]
@@ -87,7 +87,7 @@
 def main(*, seed: int = 1) -> None:
     """Print the table.
 
-    :param seed: the seed of keys and noise.
+    :param seed: seeds the keys and the errors of loads.
     """
     service = identity.ServiceId("stock")
     zones = [identity.ZoneId(zone) for zone in ("a", "b", "c", "d")]
