--- a/bench/control.py
+++ b/bench/control.py
@@ -1,8 +1,9 @@
-"""Cost of the control channel: CPU and bytes per message, slopes, and memory of an idle stream.
+"""Measures the cost of the control channel in CPU, bytes per message and memory per idle stream.
 
-Two processes talk over loopback: this one asks, as the nodes of a cell do, and a second one
-answers, as the coordinator does. Each is timed by ``time.process_time``. Messages are sent at the
-pace of the design, not back to back, because a message that wakes an idle process costs more.
+Two processes communicate over loopback: this one, the asker, sends requests as the nodes of a cell
+do, and a second one, the answerer, replies as the coordinator does. CPU is that of
+``time.process_time``. Messages are sent at the rate of the design, not back to back, because a
+message that wakes an idle process costs more.
 """
 
 import collections
@@ -40,26 +41,28 @@
 CONSENT_S = 0.100
 HOST = "127.0.0.1"
 UNARY = "/ebonyvalve.Bench/Unary"
-# Ethernet, IP and TCP with timestamps; one segment per message, acknowledged by the next one.
+# Headers of Ethernet, IP and TCP with timestamps. Each message takes one segment, which the next
+# message acknowledges.
 SEGMENT_BYTES = 14 + 20 + 32
-CORE_LIMIT_PERCENT = 3.0
-TRAFFIC_LIMIT_KB = 19.0
-# 256 partitions of a service with 6 instances.
+MAX_CORE_PERCENT = 3.0
+MAX_TRAFFIC_KB = 19.0
 ROUTES_VERSION = 100_000
+# For a service with 256 partitions and 6 instances.
 SHARDS_PER_NODE = 43
 STREAMS_FOR_MEMORY = 50
 OPENINGS = 50
 OPENING_PAUSE_S = 0.02
 WARM_UP_S = 0.3
-# Cases are measured in turn, several times, because other load on the machine changes the cost.
+# Each case is measured in several rounds, because other load on the machine changes the cost.
 ROUNDS = 5
+# Commands to the answerer: print a sample, or collect garbage first.
 SAMPLE = b"sample\n"
 COLLECT = b"collect\n"
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class Carrier(enum.Enum):
-    """What carries the requests. ``ECHO`` is a plain trio stream that returns the same bytes."""
+class Transport(enum.Enum):
+    """The transport of requests. ``ECHO`` is a plain trio stream that returns the same bytes."""
 
     STREAM = "stream"
     TLS = "tls"
@@ -69,18 +72,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Case:
-    """One row of the table: what is asked, by how many, and how often."""
+    """One row of the table: the request, the number of nodes that send it, and their interval."""
 
     name: str
     nodes: int
     period_s: float
     request: message.Message
-    carrier: Carrier = Carrier.STREAM
+    transport: Transport = Transport.STREAM
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Sample:
-    """CPU seconds, messages and resident bytes of one process."""
+    """CPU seconds and messages since the start of a process, and its resident bytes."""
 
     cpu_s: float
     messages: int
@@ -89,17 +92,17 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Answerer:
-    """The second process."""
+    """The process that answers; ``received`` is output of it that was not read as a line yet."""
 
     process: trio.Process
     folder: str
-    addresses: dict[Carrier, identity.Address] = dataclasses.field(default_factory=dict)
+    addresses: dict[Transport, identity.Address] = dataclasses.field(default_factory=dict)
     received: bytes = b""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Row:
-    """What one case measured."""
+    """The results of one case. Times are CPU microseconds per request."""
 
     case: Case
     asker_us: float
@@ -109,10 +112,12 @@
 
 
 def name_shard(number: int) -> identity.ShardId:
+    """Return the shard of a partition."""
     return identity.name_partition(identity.ServiceId("inventario"), identity.Partition(number))
 
 
 def make_member(number: int) -> message.Member:
+    """Return a member with names and addresses of realistic length."""
     return message.Member(
         node=identity.NodeId(f"inventario-{number:03}"),
         incarnation=identity.Incarnation("0123456789abcdef"),
@@ -126,7 +131,11 @@
 
 
 def make_heartbeat(*, routes: int = 0, loads: int = 0) -> message.Heartbeat:
-    """Return a heartbeat that lacks so many of the latest routes."""
+    """Return a heartbeat.
+
+    :param routes: how many of the latest routes the node does not know yet.
+    :param loads: how many shard loads it reports.
+    """
     return message.Heartbeat(
         member=make_member(1),
         term=identity.Term(12),
@@ -140,6 +149,7 @@
 
 
 def make_consent() -> message.AskConsent:
+    """Return a request of the coordinator for the consent of a standby."""
     return message.AskConsent(
         term=identity.Term(12),
         coordinator=identity.NodeId("inventario-001"),
@@ -148,6 +158,7 @@
 
 
 def make_reply(request: message.Message) -> message.Message:
+    """Return the reply to a request, as large as the coordinator's or the standby's."""
     if isinstance(request, message.AskConsent):
         return message.Consent(term=request.term)
     assert isinstance(request, message.Heartbeat)
@@ -172,11 +183,14 @@
 
 
 def list_cases() -> list[Case]:
-    beat = make_heartbeat()
+    """Return all cases; :func:`print_slopes` and :func:`print_limits` rely on their order."""
+    heartbeat = make_heartbeat()
     return [
-        Case(name="heartbeat", nodes=14, period_s=HEARTBEAT_S, request=beat),
-        Case(name="heartbeat", nodes=24, period_s=HEARTBEAT_S, request=beat),
-        Case(name="heartbeat, half the rate", nodes=24, period_s=2 * HEARTBEAT_S, request=beat),
+        Case(name="heartbeat", nodes=14, period_s=HEARTBEAT_S, request=heartbeat),
+        Case(name="heartbeat", nodes=24, period_s=HEARTBEAT_S, request=heartbeat),
+        Case(
+            name="heartbeat, half the rate", nodes=24, period_s=2 * HEARTBEAT_S, request=heartbeat
+        ),
         Case(
             name=f"heartbeat, {SHARDS_PER_NODE} loads",
             nodes=24,
@@ -200,33 +214,34 @@
             name="heartbeat, unary call",
             nodes=24,
             period_s=HEARTBEAT_S,
-            request=beat,
-            carrier=Carrier.UNARY,
+            request=heartbeat,
+            transport=Transport.UNARY,
         ),
         Case(
             name="heartbeat, mutual TLS",
             nodes=24,
             period_s=HEARTBEAT_S,
-            request=beat,
-            carrier=Carrier.TLS,
+            request=heartbeat,
+            transport=Transport.TLS,
         ),
         Case(
             name="echo on plain trio",
             nodes=24,
             period_s=HEARTBEAT_S,
-            request=beat,
-            carrier=Carrier.ECHO,
+            request=heartbeat,
+            transport=Transport.ECHO,
         ),
     ]
 
 
 def take_sample(messages: int) -> Sample:
+    """Return a sample of this process."""
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     return Sample(cpu_s=time.process_time(), messages=messages, resident_bytes=pages * PAGE_BYTES)
 
 
 async def answer(folder: str) -> None:
-    """Answer on one port per carrier; print a sample for every line of input."""
+    """Answer requests on one port per transport; print a sample for every line of input."""
     messages = 0
 
     async def handle(request: message.Message) -> message.Message:
@@ -240,10 +255,10 @@
         trio.open_nursery() as nursery,
     ):
         address = identity.Address(f"{HOST}:0")
-        streams = await nursery.start(functools.partial(opened.serve, handle, address))
+        stream_address = await nursery.start(functools.partial(opened.serve, handle, address))
         tls = channel.load_server_tls(list_files(folder))
-        encrypted = await nursery.start(functools.partial(opened.serve, handle, address, tls))
-        unary = await nursery.start(serve_unary, handle, loop)
+        tls_address = await nursery.start(functools.partial(opened.serve, handle, address, tls))
+        unary_address = await nursery.start(serve_unary, handle, loop)
 
         async def echo(stream: trio.SocketStream) -> None:
             nonlocal messages
@@ -253,10 +268,10 @@
 
         listeners = await nursery.start(functools.partial(trio.serve_tcp, echo, 0, host=HOST))
         addresses = {
-            Carrier.STREAM.value: streams,
-            Carrier.TLS.value: encrypted,
-            Carrier.UNARY.value: unary,
-            Carrier.ECHO.value: f"{HOST}:{listeners[0].socket.getsockname()[1]}",
+            Transport.STREAM.value: stream_address,
+            Transport.TLS.value: tls_address,
+            Transport.UNARY.value: unary_address,
+            Transport.ECHO.value: f"{HOST}:{listeners[0].socket.getsockname()[1]}",
         }
         print(json.dumps(addresses), flush=True)
         async for line in trio.lowlevel.FdStream(os.dup(sys.stdin.fileno())):
@@ -274,6 +289,8 @@
     *,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
+    """Serve requests as unary gRPC calls; report the address when ready."""
+
     async def call(stream: grpclib.server.Stream[bytes, bytes]) -> None:
         payload = await stream.recv_message()
         assert payload is not None
@@ -299,6 +316,7 @@
 
 
 async def read_line(answerer: Answerer) -> str:
+    """Return the next line of output of the answerer."""
     assert answerer.process.stdout is not None
     while b"\n" not in answerer.received:
         data = await answerer.process.stdout.receive_some()
@@ -310,22 +328,23 @@
 
 
 async def sample_answerer(answerer: Answerer, command: bytes = SAMPLE) -> Sample:
+    """Return a sample of the answerer."""
     assert answerer.process.stdin is not None
     await answerer.process.stdin.send_all(command)
     return Sample(**json.loads(await read_line(answerer)))
 
 
-# Returns the failure, or None.
-AskOnce = collections.abc.Callable[[message.Message], collections.abc.Awaitable[str | None]]
+# Sends one request; returns the failure, or None.
+SendRequest = collections.abc.Callable[[message.Message], collections.abc.Awaitable[str | None]]
 
 
 @contextlib.asynccontextmanager
 async def open_streams(
     address: identity.Address, count: int, tls: ssl.SSLContext | None = None
-) -> collections.abc.AsyncIterator[list[AskOnce]]:
-    """Yield one function per node, each with a channel of its own."""
+) -> collections.abc.AsyncIterator[list[SendRequest]]:
+    """Yield one request function per node, each with its own control channel."""
 
-    def bind(opened: channel.Channel) -> AskOnce:
+    def bind(opened: channel.Channel) -> SendRequest:
         async def ask(request: message.Message) -> str | None:
             reply = await opened.ask(address, request, 2.0)
             return None if isinstance(reply, result.Success) else reply.failure().value
@@ -342,14 +361,14 @@
 @contextlib.asynccontextmanager
 async def open_unary(
     address: identity.Address, count: int
-) -> collections.abc.AsyncIterator[list[AskOnce]]:
-    """Yield one function per node, each with a connection of its own."""
-    place = channel.split_address(address)
-    assert place is not None
+) -> collections.abc.AsyncIterator[list[SendRequest]]:
+    """Yield one request function per node, each with its own connection for unary calls."""
+    endpoint = channel.split_address(address)
+    assert endpoint is not None
 
     async with trio_asyncio.open_loop() as loop:
 
-        def bind(connection: grpclib.client.Channel) -> AskOnce:
+        def bind(connection: grpclib.client.Channel) -> SendRequest:
             method = grpclib.client.UnaryUnaryMethod(connection, UNARY, bytes, bytes)
 
             async def ask(request: message.Message) -> str | None:
@@ -360,7 +379,7 @@
             return ask
 
         async def connect() -> grpclib.client.Channel:
-            return grpclib.client.Channel(*place, codec=channel.PayloadCodec())
+            return grpclib.client.Channel(*endpoint, codec=channel.PayloadCodec())
 
         connections = [await trio_asyncio.aio_as_trio(connect, loop=loop)() for _ in range(count)]
         yield [bind(connection) for connection in connections]
@@ -372,11 +391,11 @@
 @contextlib.asynccontextmanager
 async def open_echoes(
     address: identity.Address, count: int
-) -> collections.abc.AsyncIterator[list[AskOnce]]:
-    """Yield one function per node, each with a plain connection of its own."""
+) -> collections.abc.AsyncIterator[list[SendRequest]]:
+    """Yield one request function per node, each with its own plain TCP connection."""
     host, port = address.split(":")
 
-    def bind(stream: trio.SocketStream) -> AskOnce:
+    def bind(stream: trio.SocketStream) -> SendRequest:
         async def ask(request: message.Message) -> str | None:
             payload = channel.encode(channel.Envelope(sequence=1, body=request))
             await stream.send_all(payload)
@@ -389,32 +408,36 @@
         yield [bind(await stack.enter_async_context(stream)) for stream in streams]
 
 
-def open_asks(
-    carrier: Carrier, address: identity.Address, count: int, folder: str
-) -> contextlib.AbstractAsyncContextManager[list[AskOnce]]:
-    if carrier is Carrier.UNARY:
+def open_requesters(
+    transport: Transport, address: identity.Address, count: int, folder: str
+) -> contextlib.AbstractAsyncContextManager[list[SendRequest]]:
+    """Return the context manager that opens the request functions for a transport."""
+    if transport is Transport.UNARY:
         return open_unary(address, count)
-    if carrier is Carrier.ECHO:
+    if transport is Transport.ECHO:
         return open_echoes(address, count)
-    if carrier is Carrier.TLS:
+    if transport is Transport.TLS:
         return open_streams(address, count, channel.load_client_tls(list_files(folder)))
     return open_streams(address, count)
 
 
 def list_files(folder: str) -> channel.TlsFiles:
+    """Return the paths of the TLS files in a directory."""
     return channel.TlsFiles(
         certificate=f"{folder}/node.pem", key=f"{folder}/node.pem", authority=f"{folder}/ca.pem"
     )
 
 
 def write_files(folder: str) -> None:
+    """Write a test authority and a certificate that both processes use."""
     authority = trustme.CA()
     authority.cert_pem.write_to_path(f"{folder}/ca.pem")
     node = authority.issue_cert(HOST)
     node.private_key_and_cert_chain_pem.write_to_path(f"{folder}/node.pem")
 
 
-async def repeat(ask: AskOnce, case: Case, phase_s: float, failures: list[str]) -> None:
+async def repeat(ask: SendRequest, case: Case, phase_s: float, failures: list[str]) -> None:
+    """Send the request of a case at its interval, after a delay, until cancelled."""
     next_s = trio.current_time() + phase_s
     while True:
         await trio.sleep_until(next_s)
@@ -428,19 +451,26 @@
     case: Case,
     answerer: Answerer,
     seconds: float,
-    source: random.Random,
+    rng: random.Random,
 ) -> Row:
-    address = answerer.addresses[case.carrier]
-    opened = open_asks(case.carrier, address, case.nodes, answerer.folder)
+    """Measure one case.
+
+    :param case: the case.
+    :param answerer: the process that answers.
+    :param seconds: how long to measure, in seconds.
+    :param rng: draws the phases at which nodes send.
+    """
+    address = answerer.addresses[case.transport]
+    opened = open_requesters(case.transport, address, case.nodes, answerer.folder)
     failures: list[str] = []
-    async with opened as asks, trio.open_nursery() as nursery:
-        for ask in asks:
-            phase_s = source.uniform(0.0, case.period_s)
+    async with opened as requesters, trio.open_nursery() as nursery:
+        for ask in requesters:
+            phase_s = rng.uniform(0.0, case.period_s)
             nursery.start_soon(repeat, ask, case, phase_s, failures)
         await trio.sleep(WARM_UP_S)
-        before, own_before_s = await sample_answerer(answerer), time.process_time()
+        before, asker_cpu_before_s = await sample_answerer(answerer), time.process_time()
         await trio.sleep(seconds)
-        own_s = time.process_time() - own_before_s
+        asker_cpu_s = time.process_time() - asker_cpu_before_s
         after = await sample_answerer(answerer)
         nursery.cancel_scope.cancel()
     if failures:
@@ -449,7 +479,7 @@
     sent, received = await count_bytes(case, address, answerer.folder)
     return Row(
         case=case,
-        asker_us=own_s / messages * 1e6,
+        asker_us=asker_cpu_s / messages * 1e6,
         answerer_us=(after.cpu_s - before.cpu_s) / messages * 1e6,
         request_bytes=sent,
         reply_bytes=received,
@@ -468,37 +498,37 @@
 
 
 async def count_bytes(case: Case, address: identity.Address, folder: str) -> tuple[float, float]:
-    """Return TCP payload bytes per request and per reply, counted by a relay."""
+    """Return TCP payload bytes per request and per reply, as counted by a TCP relay."""
     exchanges = 50
-    counted = {"sent": 0, "received": 0}
+    byte_counts = {"sent": 0, "received": 0}
 
-    async def pump(name: str, source: trio.SocketStream, sink: trio.SocketStream) -> None:
+    async def forward(name: str, source: trio.SocketStream, sink: trio.SocketStream) -> None:
         async for data in source:
-            counted[name] += len(data)
+            byte_counts[name] += len(data)
             await sink.send_all(data)
 
-    async def accept(near: trio.SocketStream) -> None:
+    async def relay(near: trio.SocketStream) -> None:
         host, port = address.split(":")
         with contextlib.suppress(trio.BrokenResourceError):
             async with (
                 await trio.open_tcp_stream(host, int(port)) as far,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(pump, "received", far, near)
-                await pump("sent", near, far)
+                nursery.start_soon(forward, "received", far, near)
+                await forward("sent", near, far)
                 nursery.cancel_scope.cancel()
 
     async with trio.open_nursery() as nursery:
-        listeners = await nursery.start(functools.partial(trio.serve_tcp, accept, 0, host=HOST))
+        listeners = await nursery.start(functools.partial(trio.serve_tcp, relay, 0, host=HOST))
         port = listeners[0].socket.getsockname()[1]
-        relayed = identity.Address(f"{HOST}:{port}")
-        async with open_asks(case.carrier, relayed, 1, folder) as asks:
-            await asks[0](case.request)
-            before = dict(counted)
+        relay_address = identity.Address(f"{HOST}:{port}")
+        async with open_requesters(case.transport, relay_address, 1, folder) as requesters:
+            await requesters[0](case.request)
+            before = dict(byte_counts)
             for _ in range(exchanges):
-                await asks[0](case.request)
+                await requesters[0](case.request)
                 await trio.sleep(0.002)
-            after = dict(counted)
+            after = dict(byte_counts)
         nursery.cancel_scope.cancel()
     return tuple((after[name] - before[name]) / exchanges for name in ("sent", "received"))  # type: ignore[return-value]
 
@@ -506,49 +536,50 @@
 async def measure_idle(
     answerer: Answerer, address: identity.Address, seconds: float
 ) -> tuple[float, float, float, float]:
-    """Return KB per idle stream and percent of a core for all of them, for both processes."""
+    """Return KB per idle stream of asker and answerer, then percent of a core for all streams."""
     gc.collect()
-    answerer_before, own_before = await sample_answerer(answerer, COLLECT), take_sample(0)
-    async with open_streams(address, STREAMS_FOR_MEMORY) as asks:
-        for ask in asks:
+    answerer_before, asker_before = await sample_answerer(answerer, COLLECT), take_sample(0)
+    async with open_streams(address, STREAMS_FOR_MEMORY) as requesters:
+        for ask in requesters:
             await ask(make_heartbeat())
         gc.collect()
-        answerer_after, own_after = await sample_answerer(answerer, COLLECT), take_sample(0)
-        before, own_before_s = await sample_answerer(answerer), time.process_time()
+        answerer_after, asker_after = await sample_answerer(answerer, COLLECT), take_sample(0)
+        before, asker_cpu_before_s = await sample_answerer(answerer), time.process_time()
         await trio.sleep(seconds)
-        own_s = time.process_time() - own_before_s
+        asker_cpu_s = time.process_time() - asker_cpu_before_s
         after = await sample_answerer(answerer)
 
     def per_stream(first: Sample, last: Sample) -> float:
         return (last.resident_bytes - first.resident_bytes) / STREAMS_FOR_MEMORY / 1000
 
     return (
-        per_stream(own_before, own_after),
+        per_stream(asker_before, asker_after),
         per_stream(answerer_before, answerer_after),
-        own_s / seconds * 100,
+        asker_cpu_s / seconds * 100,
         (after.cpu_s - before.cpu_s) / seconds * 100,
     )
 
 
-async def measure_open(answerer: Answerer, carrier: Carrier) -> tuple[float, float]:
-    """Return milliseconds of CPU for opening a stream and one request, for both processes."""
-    address = answerer.addresses[carrier]
+async def measure_open(answerer: Answerer, transport: Transport) -> tuple[float, float]:
+    """Return CPU milliseconds of asker and answerer to reopen a stream and send one request."""
+    address = answerer.addresses[transport]
     tls = None
-    if carrier is Carrier.TLS:
+    if transport is Transport.TLS:
         tls = channel.load_client_tls(list_files(answerer.folder))
     async with channel.open_channel(tls=tls) as opened:
         await opened.ask(address, make_heartbeat(), 2.0)
-        before, own_before_s = await sample_answerer(answerer), time.process_time()
+        before, asker_cpu_before_s = await sample_answerer(answerer), time.process_time()
         for _ in range(OPENINGS):
             opened.close(address)
             await trio.sleep(OPENING_PAUSE_S)
             await opened.ask(address, make_heartbeat(), 2.0)
-        own_s = time.process_time() - own_before_s
+        asker_cpu_s = time.process_time() - asker_cpu_before_s
         after = await sample_answerer(answerer)
-    return own_s / OPENINGS * 1e3, (after.cpu_s - before.cpu_s) / OPENINGS * 1e3
+    return asker_cpu_s / OPENINGS * 1e3, (after.cpu_s - before.cpu_s) / OPENINGS * 1e3
 
 
 def print_rows(rows: list[Row]) -> None:
+    """Print the table of cases."""
     print(
         f"{'exchange':26} {'nodes':>5} {'per s':>6} | {'CPU asker':>9} {'answerer':>9} "
         f"| {'request':>8} {'reply':>7} | {'asker':>15} | {'answerer':>16}"
@@ -571,57 +602,60 @@
 
 
 def print_slopes(rows: list[Row]) -> None:
-    few, many, slow, loads, some, routes = rows[:6]
-    shards = routes.case.request, some.case.request
-    assert isinstance(shards[0], message.Heartbeat) and isinstance(shards[1], message.Heartbeat)
-    more = shards[1].routes_version - shards[0].routes_version
+    """Print the cost of one more node, heartbeat, route or load, from pairs of cases."""
+    small, base, half_rate, loads, few_routes, many_routes = rows[:6]
+    requests = many_routes.case.request, few_routes.case.request
+    assert isinstance(requests[0], message.Heartbeat) and isinstance(requests[1], message.Heartbeat)
+    more_routes = requests[1].routes_version - requests[0].routes_version
     rate = 1 / HEARTBEAT_S
 
-    def load_of(row: Row) -> float:
+    def percent(row: Row) -> float:
         return row.answerer_us * row.case.nodes / row.case.period_s / 1e4
 
     print(
         f"per node at the coordinator: "
-        f"{(load_of(many) - load_of(few)) / (many.case.nodes - few.case.nodes):.3f} % of a core"
+        f"{(percent(base) - percent(small)) / (base.case.nodes - small.case.nodes):.3f} % of a core"
     )
     print(
         "per heartbeat/s at the coordinator: "
-        f"{(load_of(many) - load_of(slow)) / (24 * rate - 24 * rate / 2):.4f} % of a core"
+        f"{(percent(base) - percent(half_rate)) / (24 * rate - 24 * rate / 2):.4f} % of a core"
     )
     print(
-        f"per route in a renewal: asker {(routes.asker_us - some.asker_us) / more:.2f} us, "
-        f"coordinator {(routes.answerer_us - some.answerer_us) / more:.2f} us, "
-        f"{(routes.reply_bytes - some.reply_bytes) / more:.1f} bytes"
+        "per route in a renewal: "
+        f"asker {(many_routes.asker_us - few_routes.asker_us) / more_routes:.2f} us, "
+        f"coordinator {(many_routes.answerer_us - few_routes.answerer_us) / more_routes:.2f} us, "
+        f"{(many_routes.reply_bytes - few_routes.reply_bytes) / more_routes:.1f} bytes"
     )
     print(
         "per load in a heartbeat: "
-        f"asker {(loads.asker_us - many.asker_us) / SHARDS_PER_NODE:.2f} us, "
-        f"coordinator {(loads.answerer_us - many.answerer_us) / SHARDS_PER_NODE:.2f} us, "
-        f"{(loads.request_bytes - many.request_bytes) / SHARDS_PER_NODE:.1f} bytes"
+        f"asker {(loads.asker_us - base.asker_us) / SHARDS_PER_NODE:.2f} us, "
+        f"coordinator {(loads.answerer_us - base.answerer_us) / SHARDS_PER_NODE:.2f} us, "
+        f"{(loads.request_bytes - base.request_bytes) / SHARDS_PER_NODE:.1f} bytes"
     )
 
 
 def print_limits(rows: list[Row]) -> None:
+    """Print how many heartbeats a coordinator can answer, and the mean cost per node."""
     row = rows[1]
     wire_bytes = row.request_bytes + row.reply_bytes + 2 * SEGMENT_BYTES
-    by_cpu = CORE_LIMIT_PERCENT * 1e4 / row.answerer_us
-    by_traffic = TRAFFIC_LIMIT_KB * 1000 / wire_bytes
+    by_cpu = MAX_CORE_PERCENT * 1e4 / row.answerer_us
+    by_traffic = MAX_TRAFFIC_KB * 1000 / wire_bytes
     print(
         f"heartbeats/s a coordinator can answer within the limits: {by_cpu:.0f} by CPU, "
         f"{by_traffic:.0f} by traffic ({wire_bytes:.0f} bytes each)"
     )
     nodes = row.case.nodes
     rate = 1 / row.case.period_s
-    share_us = (row.asker_us + row.answerer_us) * rate
+    cpu_us = (row.asker_us + row.answerer_us) * rate
     print(
-        f"mean over {nodes} nodes, coordinator included: {share_us / 1e4:.2f} % of a core, "
+        f"mean over {nodes} nodes, coordinator included: {cpu_us / 1e4:.2f} % of a core, "
         f"{2 * wire_bytes * rate / 1000:.2f} KB/s"
     )
 
 
 async def ask_all(seconds: float, seed: int, folder: str) -> None:
     """Measure every case against a second process and print the tables."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     write_files(folder)
     command = [sys.executable, "-m", "bench.control", "--role", "answer", "--folder", folder]
     process = await trio.lowlevel.open_process(
@@ -629,16 +663,16 @@
     )
     try:
         answerer = Answerer(process=process, folder=folder)
-        for carrier, address in json.loads(await read_line(answerer)).items():
-            answerer.addresses[Carrier(carrier)] = address
-        idle = await measure_idle(answerer, answerer.addresses[Carrier.STREAM], seconds)
-        opening = await measure_open(answerer, Carrier.STREAM)
-        opening_tls = await measure_open(answerer, Carrier.TLS)
+        for transport, address in json.loads(await read_line(answerer)).items():
+            answerer.addresses[Transport(transport)] = address
+        idle = await measure_idle(answerer, answerer.addresses[Transport.STREAM], seconds)
+        opening = await measure_open(answerer, Transport.STREAM)
+        opening_tls = await measure_open(answerer, Transport.TLS)
         cases = list_cases()
         samples: list[list[Row]] = [[] for _ in cases]
         for _ in range(ROUNDS):
-            for number in source.sample(range(len(cases)), len(cases)):
-                row = await measure(cases[number], answerer, seconds / ROUNDS, source)
+            for number in rng.sample(range(len(cases)), len(cases)):
+                row = await measure(cases[number], answerer, seconds / ROUNDS, rng)
                 samples[number].append(row)
         rows = [take_median(rows) for rows in samples]
     finally:
@@ -659,7 +693,7 @@
     print_limits(rows)
     load = ", ".join(f"{value:.1f}" for value in os.getloadavg())
     print(f"load average {load} on {os.cpu_count()} cores; median of {ROUNDS} rounds")
-    print(f"limits: {CORE_LIMIT_PERCENT} % of a core, {TRAFFIC_LIMIT_KB} KB/s per node")
+    print(f"limits: {MAX_CORE_PERCENT} % of a core, {MAX_TRAFFIC_KB} KB/s per node")
 
 
 def main(
@@ -667,18 +701,18 @@
 ) -> None:
     """Print what the control channel costs.
 
-    :param seconds: how long each case is measured in all, at most 30.
-    :param seed: seed of the phases at which nodes send.
+    :param seconds: how long each case is measured in all rounds, in seconds, at most 30.
+    :param seed: seeds the phases at which nodes send and the order of cases.
     :param role: ``ask`` prints the tables; ``answer`` is the process that it starts.
-    :param folder: where the process that answers finds its TLS files.
+    :param folder: directory with the TLS files of the process that answers.
     """
     if role == "answer":
         if folder is None:
             raise SystemExit("--role answer needs --folder")
         trio.run(answer, folder)
         return
-    with tempfile.TemporaryDirectory() as made:
-        trio.run(ask_all, min(seconds, 30.0), seed, made)
+    with tempfile.TemporaryDirectory() as temporary:
+        trio.run(ask_all, min(seconds, 30.0), seed, temporary)
 
 
 if __name__ == "__main__":
--- a/bench/footprint.py
+++ b/bench/footprint.py
@@ -1,4 +1,4 @@
-"""CPU and memory that a mesh of separate processes spends on control while no request comes.
+"""Measures the CPU and memory of a mesh of separate processes that gets no requests.
 
 ``python -m bench.footprint`` starts the platform stand-in, 14 daemons and 14 toy targets.
 """
@@ -17,7 +17,7 @@
 
 
 def publish(mesh: processes.Mesh) -> None:
-    """Publish a configuration once all targets have announced themselves.
+    """Retry publishing, which is refused until all targets have announced themselves.
 
     :param mesh: the processes.
     """
@@ -49,10 +49,10 @@
 
 
 def main(*, nodes: int = 14, seconds: float = 20.0) -> None:
-    """Print CPU and memory of each daemon while no request comes.
+    """Print CPU and memory of the daemons while no request comes.
 
-    :param nodes: daemons, each with a toy target.
-    :param seconds: how long to measure.
+    :param nodes: number of daemons, each with a toy target.
+    :param seconds: how long to measure, in seconds.
     """
     with (
         tempfile.TemporaryDirectory() as folder,
@@ -65,8 +65,8 @@
         time.sleep(seconds)
         elapsed_s = time.monotonic() - start_s
         shares = sorted(
-            (read_cpu(daemon.pid) - spent) / elapsed_s
-            for daemon, spent in zip(mesh.daemons, before, strict=True)
+            (read_cpu(daemon.pid) - before_s) / elapsed_s
+            for daemon, before_s in zip(mesh.daemons, before, strict=True)
         )
         memory = sorted(read_memory(daemon.pid) for daemon in mesh.daemons)
     print(
@@ -74,16 +74,16 @@
     )
     print("| | least | median | most (the coordinator) |")
     print("|---|---|---|---|")
-    cpu = [f"{share:.1%}" for share in pick_three(shares)]
+    cpu = [f"{share:.1%}" for share in summarise(shares)]
     print(f"| CPU, share of a core | {' | '.join(cpu)} |")
-    resident = [f"{each:.0f}" for each in pick_three(memory)]
+    resident = [f"{megabytes:.0f}" for megabytes in summarise(memory)]
     print(f"| resident memory, MB | {' | '.join(resident)} |")
 
 
-def pick_three(values: list[float]) -> tuple[float, float, float]:
-    """Return the least, the median and the greatest value.
+def summarise(values: list[float]) -> tuple[float, float, float]:
+    """Return the minimum, the median and the maximum.
 
-    :param values: sorted.
+    :param values: in ascending order.
     """
     return values[0], statistics.median(values), values[-1]
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,9 +1,9 @@
-"""Latency and CPU of the request path over real loopback sockets, in one process.
+"""Measures latency and CPU of the request path over loopback sockets, in one process.
 
 ``python -m bench.path`` sends requests one after the other on a keep-alive connection to the toy
-target directly, over the node beside it, and over one hop. CPU is that of the whole process, so it
-includes the caller and the target; the CPU of the idle mesh is subtracted. A node's own cost is the
-difference to the direct call.
+target directly, through the target's node, and through another node with one hop. CPU is that of
+the whole process, so it includes the caller and the target; the CPU of the idle mesh is subtracted.
+A node's own measurement is the difference to the direct call.
 """
 
 import contextlib
@@ -41,8 +41,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Figures:
-    """Latencies in seconds, in order, and CPU seconds per request."""
+class Measurement:
+    """Latencies in seconds, in ascending order, and CPU seconds per request."""
 
     latencies: list[float]
     cpu_s: float
@@ -51,8 +51,8 @@
 def build_mesh(control: channel.Channel, share: float) -> demo.Mesh:
     """Assemble a mesh like that of the demo.
 
-    :param control: the channel that its nodes share.
-    :param share: of answered requests to log.
+    :param control: the control channel that its nodes share.
+    :param share: share of the answered requests to log, 0 to 1.
     """
     store = platform.open_memory(platform.Memory())
     edges = demo.build_edges(control, store, random.Random(1))
@@ -78,29 +78,31 @@
     )
 
 
-async def measure(address: identity.Address, path: str, count: int, idle: float) -> Figures:
+async def measure(
+    address: identity.Address, path: str, count: int, idle_cpu_share: float
+) -> Measurement:
     """Send requests one after the other on one connection.
 
-    :param address: a node or a target.
+    :param address: address of a node or a target.
     :param path: the request target.
-    :param count: how many requests.
-    :param idle: CPU seconds per second that the idle mesh takes.
+    :param count: number of requests to measure, after those of the warm-up.
+    :param idle_cpu_share: CPU seconds per second that the idle mesh takes, to be subtracted.
     """
     conn = wire.open_client(await network.connect_tcp(address))
     latencies = []
-    cpu_s, began_s = 0.0, 0.0
+    cpu_s, measured_from_s = 0.0, 0.0
     try:
         for number in range(WARM_UP + count):
             if number == WARM_UP:
-                cpu_s, began_s = time.process_time(), time.monotonic()
+                cpu_s, measured_from_s = time.process_time(), time.monotonic()
             start_s = time.monotonic()
             await exchange(conn, path)
             if number >= WARM_UP:
                 latencies.append(time.monotonic() - start_s)
     finally:
         await wire.close(conn)
-    spent_s = time.process_time() - cpu_s - idle * (time.monotonic() - began_s)
-    return Figures(latencies=sorted(latencies), cpu_s=spent_s / count)
+    spent_s = time.process_time() - cpu_s - idle_cpu_share * (time.monotonic() - measured_from_s)
+    return Measurement(latencies=sorted(latencies), cpu_s=spent_s / count)
 
 
 async def exchange(conn: wire.Wire, path: str) -> None:
@@ -123,11 +125,11 @@
             return
 
 
-async def run(count: int, share: float) -> dict[str, Figures]:
+async def run(count: int, share: float) -> dict[str, Measurement]:
     """Measure all paths of one mesh.
 
-    :param count: requests for each path.
-    :param share: of answered requests to log.
+    :param count: number of requests for each path.
+    :param share: share of the answered requests to log, 0 to 1.
     """
     async with channel.open_channel() as control, trio.open_nursery() as nursery:
         mesh = build_mesh(control, share)
@@ -143,30 +145,30 @@
         await trio.sleep(1.0)
         cpu_s = time.process_time()
         await trio.sleep(IDLE_S)
-        idle = (time.process_time() - cpu_s) / IDLE_S
+        idle_cpu_share = (time.process_time() - cpu_s) / IDLE_S
         owner, other, path = find_path(mesh)
         target_address = mesh.target_addresses[mesh.nodes.index(owner)]
-        found = {
-            "direct": await measure(target_address, path, count, idle),
-            "one node": await measure(owner.cfg.caller_address, path, count, idle),
-            "two nodes": await measure(other.cfg.caller_address, path, count, idle),
+        measurements = {
+            "direct": await measure(target_address, path, count, idle_cpu_share),
+            "one node": await measure(owner.cfg.caller_address, path, count, idle_cpu_share),
+            "two nodes": await measure(other.cfg.caller_address, path, count, idle_cpu_share),
         }
         nursery.cancel_scope.cancel()
-    return found
+    return measurements
 
 
 def find_path(mesh: demo.Mesh) -> tuple[daemon.Node, daemon.Node, str]:
     """Return the owner of a key, another node and the request target.
 
-    :param mesh: a mesh that runs.
+    :param mesh: a running mesh.
     """
     state = mesh.nodes[0].here.read_node()
     key = identity.KeyId("k")
-    service = mesh.nodes[0].snapshot
-    if service is None:
+    snapshot = mesh.nodes[0].snapshot
+    if snapshot is None:
         raise RuntimeError("the mesh has no configuration")
     shard = identity.name_partition(
-        demo.SERVICE, route.find_partition(service.services[demo.SERVICE], key)
+        demo.SERVICE, route.find_partition(snapshot.services[demo.SERVICE], key)
     )
     name = lease.find_owner(state, shard)
     owner = next(node for node in mesh.nodes if node.cfg.node == name)
@@ -175,11 +177,11 @@
 
 
 def main(*, count: int = 1500) -> None:
-    """Print the cost of the request path.
+    """Print latency and CPU of the request path.
 
-    :param count: requests for each path.
+    :param count: number of requests for each path.
     """
-    # Lines are formatted and written as in the daemon, but to no file.
+    # Log lines are formatted and written as in the daemon, but to the null device.
     with open(os.devnull, "w") as sink:
         with contextlib.redirect_stderr(sink):
             decision.configure(decision.LogForm.KEY_VALUE, "info")
@@ -187,33 +189,33 @@
         logged = trio.run(run, count, 1.0)
         logging.getLogger().handlers.clear()
     rows = []
-    for share, found in (("1 %", sampled), ("all", logged)):
-        direct = found["direct"]
-        for name, entry in found.items():
-            own_s = entry.cpu_s - direct.cpu_s
+    for share, measurements in (("1 %", sampled), ("all", logged)):
+        direct = measurements["direct"]
+        for name, entry in measurements.items():
+            node_cpu_s = entry.cpu_s - direct.cpu_s
             rows.append(
                 [
                     name,
                     share,
-                    f"{1000 * find(entry, 0.5):.2f}",
-                    f"{1000 * find(entry, 0.99):.2f}",
-                    f"{find(entry, 0.5) / find(direct, 0.5):.1f}",
+                    f"{1000 * find_quantile(entry, 0.5):.2f}",
+                    f"{1000 * find_quantile(entry, 0.99):.2f}",
+                    f"{find_quantile(entry, 0.5) / find_quantile(direct, 0.5):.1f}",
                     f"{1e6 * entry.cpu_s:.0f}",
-                    f"{1e6 * own_s:.0f}" if own_s > 0 else "-",
-                    f"{1 / own_s:.0f}" if own_s > 0 else "-",
+                    f"{1e6 * node_cpu_s:.0f}" if node_cpu_s > 0 else "-",
+                    f"{1 / node_cpu_s:.0f}" if node_cpu_s > 0 else "-",
                 ]
             )
     heads = ["path", "logged", "p50 ms", "p99 ms", "p50 ratio", "CPU us", "CPU us of nodes"]
     table.show([*heads, "requests/s per core"], rows)
 
 
-def find(figures: Figures, share: float) -> float:
+def find_quantile(measurement: Measurement, share: float) -> float:
     """Return a quantile of the latency in seconds.
 
-    :param figures: of one path.
+    :param measurement: the measurements of one path.
     :param share: the quantile, 0 to 1.
     """
-    return figures.latencies[int(share * (len(figures.latencies) - 1))]
+    return measurement.latencies[int(share * (len(measurement.latencies) - 1))]
 
 
 if __name__ == "__main__":
--- a/bench/singles.py
+++ b/bench/singles.py
@@ -1,11 +1,14 @@
-"""Writes a day for each entry of a site's list of troubles, so that each can be played alone."""
+"""Writes a schedule (a "day" of the test kit) for each entry of a site's list of troubles.
+
+``python -m bench.singles SITE FOLDER`` prints the files, so that each trouble can be run alone.
+"""
 
 import pathlib
 import sys
 import tomllib
 import typing
 
-# Work that an operator plans; everything else is a fault.
+# Kinds of trouble that an operator plans; all others are faults.
 PLANNED = {
     "big_config",
     "config_change",
@@ -16,7 +19,7 @@
     "scale_in",
     "scale_out",
 }
-# In seconds of traffic: targets are warm by then, and most of the day is left.
+# Seconds of traffic before the trouble: targets are warm by then, and most of the day remains.
 BEGINS_AT_S = 8.0
 
 
@@ -24,7 +27,7 @@
     """Write one file for each trouble of a site; return the files.
 
     :param site: the site's file.
-    :param folder: where the days go.
+    :param folder: where the files are written; created if missing.
     """
     troubles = tomllib.loads(site.read_text())["troubles"]
     folder.mkdir(parents=True, exist_ok=True)
@@ -34,11 +37,11 @@
 def _write_day(folder: pathlib.Path, number: int, entry: dict[str, typing.Any]) -> pathlib.Path:
     name = f"single-{number:02}-{entry['kind']}"
     fields = ", ".join(f"{key} = {_render(value)}" for key, value in entry.items())
-    listed = "plan" if entry["kind"] in PLANNED else "faults"
+    list_name = "plan" if entry["kind"] in PLANNED else "faults"
     path = folder / f"{name}.toml"
     path.write_text(
         f'[[day]]\nname = "{name}"\nslot = "trouble"\nseed = {number}\n'
-        f"{listed} = [\n  {{ at = {BEGINS_AT_S}, {fields} }},\n]\n"
+        f"{list_name} = [\n  {{ at = {BEGINS_AT_S}, {fields} }},\n]\n"
     )
     return path
 
