--- a/bench/faults.py
+++ b/bench/faults.py
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class ScheduleState:
+class Schedule:
     """The state of one schedule while it runs."""
 
     world: worlds.World
@@ -96,233 +96,233 @@
     drains: list[history.Drain] = dataclasses.field(default_factory=list)
 
 
-async def lose_node(run: ScheduleState, duration_s: float, name: str | None = None) -> None:
+async def lose_node(schedule: Schedule, duration_s: float, name: str | None = None) -> None:
     """Kill a node and its target, and start both again at the end."""
-    host = pick_host(run) if name is None else run.world.hosts[identity.NodeId(name)]
-    worlds.kill_node(run.world, host)
-    worlds.kill_target(run.world, host)
+    host = pick_host(schedule) if name is None else schedule.world.hosts[identity.NodeId(name)]
+    worlds.kill_node(schedule.world, host)
+    worlds.kill_target(schedule.world, host)
     await trio.sleep(duration_s)
     host.toy.state = toy.ToyState.UP
     host.toy.fences.clear()
     host.toy.grant_end_s = 0.0
-    worlds.start_target(run.world, host)
-    await worlds.start_node(run.world, host)
+    worlds.start_target(schedule.world, host)
+    await worlds.start_node(schedule.world, host)
 
 
-async def pause_node(run: ScheduleState, duration_s: float, name: str | None = None) -> None:
+async def pause_node(schedule: Schedule, duration_s: float, name: str | None = None) -> None:
     """Pause a node for longer than its lease, and resume it."""
-    host = pick_host(run) if name is None else run.world.hosts[identity.NodeId(name)]
+    host = pick_host(schedule) if name is None else schedule.world.hosts[identity.NodeId(name)]
     worlds.pause_node(host)
     await trio.sleep(duration_s)
     worlds.resume_node(host)
 
 
-async def freeze_target(run: ScheduleState, duration_s: float) -> None:
+async def freeze_target(schedule: Schedule, duration_s: float) -> None:
     """Freeze a target, which continues with its old state at the end."""
-    host = pick_host(run)
+    host = pick_host(schedule)
     toy.freeze(host.toy)
     await trio.sleep(duration_s)
     if host.toy.state is toy.ToyState.FROZEN:
         toy.thaw(host.toy)
 
 
-async def lose_target(run: ScheduleState, duration_s: float) -> None:
+async def lose_target(schedule: Schedule, duration_s: float) -> None:
     """Kill a target whose node keeps running, and start a new one at the end."""
-    host = pick_host(run)
-    worlds.kill_target(run.world, host)
+    host = pick_host(schedule)
+    worlds.kill_target(schedule.world, host)
     await trio.sleep(duration_s)
-    await _restart_target(run, host)
+    await _restart_target(schedule, host)
 
 
-async def slow_cold_target(run: ScheduleState, duration_s: float) -> None:
+async def slow_cold_target(schedule: Schedule, duration_s: float) -> None:
     """Make a target eight times slower, as a cold one that does not announce it."""
-    host = pick_host(run)
+    host = pick_host(schedule)
     service_time_s = host.toy.service_time_s
     host.toy.service_time_s = service_time_s * 8
     await trio.sleep(duration_s)
     host.toy.service_time_s = service_time_s
 
 
-async def lose_coordinator(run: ScheduleState, duration_s: float) -> None:
+async def lose_coordinator(schedule: Schedule, duration_s: float) -> None:
     """Lose the VM of the coordinator, which may own shards as well."""
-    await lose_node(run, duration_s, worlds.find_coordinator(run.world))
+    await lose_node(schedule, duration_s, worlds.find_coordinator(schedule.world))
 
 
-async def pause_coordinator(run: ScheduleState, duration_s: float) -> None:
+async def pause_coordinator(schedule: Schedule, duration_s: float) -> None:
     """Pause the coordinator until the consents of its standbys have expired."""
-    await pause_node(run, duration_s, worlds.find_coordinator(run.world))
+    await pause_node(schedule, duration_s, worlds.find_coordinator(schedule.world))
 
 
-async def lose_standby(run: ScheduleState, duration_s: float) -> None:
+async def lose_standby(schedule: Schedule, duration_s: float) -> None:
     """Lose the VM of a standby."""
-    leadership = worlds.read_leadership(run.world)
+    leadership = worlds.read_leadership(schedule.world)
     standbys = [] if leadership is None else leadership.rules.row.standbys
-    await lose_node(run, duration_s, standbys[0].node if standbys else None)
+    await lose_node(schedule, duration_s, standbys[0].node if standbys else None)
 
 
-async def cut_coordinator_from_nodes(run: ScheduleState, duration_s: float) -> None:
+async def cut_coordinator_from_nodes(schedule: Schedule, duration_s: float) -> None:
     """Cut all links between the coordinator and the other nodes, but not those to the store."""
-    name = worlds.find_coordinator(run.world) or pick_host(run).cfg.node
-    links: set[worlds.Link] = {(name, other) for other in run.world.hosts if other != name}
+    name = worlds.find_coordinator(schedule.world) or pick_host(schedule).cfg.node
+    links: set[worlds.Link] = {(name, other) for other in schedule.world.hosts if other != name}
     await cut_links(
-        run, links | {(destination, source) for source, destination in links}, duration_s
+        schedule, links | {(destination, source) for source, destination in links}, duration_s
     )
 
 
-async def cut_coordinator_from_store(run: ScheduleState, duration_s: float) -> None:
+async def cut_coordinator_from_store(schedule: Schedule, duration_s: float) -> None:
     """Cut the links between the coordinator and the store, but not those to other nodes."""
-    name = worlds.find_coordinator(run.world) or pick_host(run).cfg.node
-    await cut_links(run, {(name, worlds.STORE), (worlds.STORE, name)}, duration_s)
+    name = worlds.find_coordinator(schedule.world) or pick_host(schedule).cfg.node
+    await cut_links(schedule, {(name, worlds.STORE), (worlds.STORE, name)}, duration_s)
 
 
-async def cut_owner_from_coordinator(run: ScheduleState, duration_s: float) -> None:
+async def cut_owner_from_coordinator(schedule: Schedule, duration_s: float) -> None:
     """Cut the links between a node and the coordinator; callers still reach both."""
-    coordinator = worlds.find_coordinator(run.world)
-    host = pick_host(run)
+    coordinator = worlds.find_coordinator(schedule.world)
+    host = pick_host(schedule)
     if coordinator is not None:
         links: set[worlds.Link] = {(coordinator, host.cfg.node), (host.cfg.node, coordinator)}
-        await cut_links(run, links, duration_s)
+        await cut_links(schedule, links, duration_s)
 
 
-async def cut_one_way(run: ScheduleState, duration_s: float) -> None:
+async def cut_one_way(schedule: Schedule, duration_s: float) -> None:
     """Lose all data that one node sends to other nodes, but none that it receives."""
-    name = pick_host(run).cfg.node
-    links: set[worlds.Link] = {(name, other) for other in run.world.hosts if other != name}
-    await cut_links(run, links, duration_s)
+    name = pick_host(schedule).cfg.node
+    links: set[worlds.Link] = {(name, other) for other in schedule.world.hosts if other != name}
+    await cut_links(schedule, links, duration_s)
 
 
-async def cut_links(run: ScheduleState, links: set[worlds.Link], duration_s: float) -> None:
+async def cut_links(schedule: Schedule, links: set[worlds.Link], duration_s: float) -> None:
     """Cut links for a while.
 
-    :param run: the schedule.
+    :param schedule: the schedule.
     :param links: one-way links.
     :param duration_s: seconds until they are restored.
     """
-    run.world.cut_links |= links
+    schedule.world.cut_links |= links
     await trio.sleep(duration_s)
-    run.world.cut_links -= links
+    schedule.world.cut_links -= links
 
 
-async def stop_store(run: ScheduleState, duration_s: float) -> None:
+async def stop_store(schedule: Schedule, duration_s: float) -> None:
     """Take the table service and the object store down."""
-    run.world.memory.is_down = True
+    schedule.world.memory.is_down = True
     await trio.sleep(duration_s)
-    run.world.memory.is_down = False
+    schedule.world.memory.is_down = False
 
 
-async def slow_store(run: ScheduleState, duration_s: float) -> None:
+async def slow_store(schedule: Schedule, duration_s: float) -> None:
     """Delay each reply of the store by 2 s."""
-    run.world.memory.delay_s = 2.0
+    schedule.world.memory.delay_s = 2.0
     await trio.sleep(duration_s)
-    run.world.memory.delay_s = 0.0
+    schedule.world.memory.delay_s = 0.0
 
 
-async def lose_replies(run: ScheduleState, duration_s: float) -> None:
+async def lose_replies(schedule: Schedule, duration_s: float) -> None:
     """Lose the replies to the next three commits, which are applied nevertheless."""
-    run.world.memory.lost_replies += 3
+    schedule.world.memory.lost_replies += 3
     await trio.sleep(duration_s)
-    run.world.memory.lost_replies = 0
+    schedule.world.memory.lost_replies = 0
 
 
-async def publish_twice(run: ScheduleState, duration_s: float) -> None:
+async def publish_twice(schedule: Schedule, duration_s: float) -> None:
     """Publish two configurations at the same time, as two operators may."""
     async with trio.open_nursery() as nursery:
         for number in range(2):
-            entries = list_objects(run, token_life_s=300.0 + number)
-            nursery.start_soon(publish, run, entries, f"operator-{number}")
+            entries = list_objects(schedule, token_life_s=300.0 + number)
+            nursery.start_soon(publish, schedule, entries, f"operator-{number}")
     await trio.sleep(duration_s)
 
 
-async def publish(run: ScheduleState, entries: list[objects.AnyObject], author: str) -> None:
+async def publish(schedule: Schedule, entries: list[objects.AnyObject], author: str) -> None:
     """Publish a configuration; the outcome is recorded in the world.
 
-    :param run: the schedule.
+    :param schedule: the schedule.
     :param entries: the objects.
     :param author: who publishes.
     """
-    await worlds.publish_objects(run.world, entries, author=author)
+    await worlds.publish_objects(schedule.world, entries, author=author)
 
 
-async def send_crashing(run: ScheduleState, duration_s: float) -> None:
+async def send_crashing(schedule: Schedule, duration_s: float) -> None:
     """Send a request that crashes its target, and resend it as a caller would."""
-    service = run.random.choice(sorted(run.world.shape.keyed))
-    key = f"key-{run.random.randrange(run.load.keys)}"
-    states_before = {name: host.toy.state for name, host in run.world.hosts.items()}
-    if run.random.random() < 0.5:
-        await load.run_operation(run.load, service, key, "crash")
+    service = schedule.random.choice(sorted(schedule.world.shape.keyed))
+    key = f"key-{schedule.random.randrange(schedule.load.keys)}"
+    states_before = {name: host.toy.state for name, host in schedule.world.hosts.items()}
+    if schedule.random.random() < 0.5:
+        await load.run_operation(schedule.load, service, key, "crash")
     else:
         # An idempotent request has no token, so only quarantine keeps it from a second target.
-        operation = f"crash-{next(run.load.numbers)}"
+        operation = f"crash-{next(schedule.load.numbers)}"
         for _ in range(load.RESENDS):
-            await load.send(run.load, "GET", service, key, operation)
+            await load.send(schedule.load, "GET", service, key, operation)
             await trio.sleep(load.RESEND_PAUSE_S)
-    for name, host in run.world.hosts.items():
+    for name, host in schedule.world.hosts.items():
         if host.toy.state is toy.ToyState.DOWN and states_before[name] is toy.ToyState.UP:
-            worlds.kill_target(run.world, host)
+            worlds.kill_target(schedule.world, host)
             await trio.sleep(duration_s)
-            await _restart_target(run, host)
+            await _restart_target(schedule, host)
 
 
-async def silence_connections(run: ScheduleState, duration_s: float) -> None:
+async def silence_connections(schedule: Schedule, duration_s: float) -> None:
     """Make half of the open connections lose all later data."""
-    worlds.silence(run.world, 0.5)
+    worlds.silence(schedule.world, 0.5)
     await trio.sleep(duration_s)
 
 
-async def slow_target(run: ScheduleState, duration_s: float) -> None:
+async def slow_target(schedule: Schedule, duration_s: float) -> None:
     """Make a target ten times slower."""
-    host = pick_host(run)
+    host = pick_host(schedule)
     host.toy.service_time_s *= 10
     await trio.sleep(duration_s)
     host.toy.service_time_s /= 10
 
 
-async def drain_zone(run: ScheduleState, duration_s: float) -> None:
+async def drain_zone(schedule: Schedule, duration_s: float) -> None:
     """Drain a zone and end the drain."""
-    zone = run.random.choice(run.world.shape.zones)
-    published = await worlds.publish_objects(run.world, list_objects(run, drained=zone))
+    zone = schedule.random.choice(schedule.world.shape.zones)
+    published = await worlds.publish_objects(schedule.world, list_objects(schedule, drained=zone))
     start_s = trio.current_time()
     await trio.sleep(max(duration_s, 4.0))
     end_s = trio.current_time()
-    await worlds.publish_objects(run.world, list_objects(run))
+    await worlds.publish_objects(schedule.world, list_objects(schedule))
     if published.state is publishing.State.ACCEPTED:
-        run.drains.append(history.Drain(zone=zone, start_s=start_s, end_s=end_s))
+        schedule.drains.append(history.Drain(zone=zone, start_s=start_s, end_s=end_s))
 
 
-async def _restart_target(run: ScheduleState, host: worlds.Host) -> None:
+async def _restart_target(schedule: Schedule, host: worlds.Host) -> None:
     host.toy.state = toy.ToyState.UP
     host.toy.fences.clear()
     host.incarnation += 1
-    worlds.start_target(run.world, host)
-    await worlds.announce(run.world, host)
+    worlds.start_target(schedule.world, host)
+    await worlds.announce(schedule.world, host)
 
 
 def list_objects(
-    run: ScheduleState, *, drained: str | None = None, token_life_s: float = 300.0
+    schedule: Schedule, *, drained: str | None = None, token_life_s: float = 300.0
 ) -> list[objects.AnyObject]:
     """Return the configuration of a schedule.
 
-    :param run: the schedule.
+    :param schedule: the schedule.
     :param drained: the zone to drain, if any.
     :param token_life_s: seconds for which a one-time token is valid.
     """
     return worlds.list_objects(
-        run.world.shape,
+        schedule.world.shape,
         drained=drained,
         token_life_s=token_life_s,
-        checks_fence=run.scenario.checks_fence,
+        checks_fence=schedule.scenario.checks_fence,
     )
 
 
-def pick_host(run: ScheduleState) -> worlds.Host:
+def pick_host(schedule: Schedule) -> worlds.Host:
     """Return a VM drawn at random.
 
-    :param run: the schedule.
+    :param schedule: the schedule.
     """
-    return run.world.hosts[run.random.choice(sorted(run.world.hosts))]
+    return schedule.world.hosts[schedule.random.choice(sorted(schedule.world.hosts))]
 
 
-Injector = collections.abc.Callable[[ScheduleState, float], collections.abc.Awaitable[None]]
+Injector = collections.abc.Callable[[Schedule, float], collections.abc.Awaitable[None]]
 INJECTORS: dict[Fault, Injector] = {
     Fault.NODE_LOST: lose_node,
     Fault.NODE_PAUSED: pause_node,
@@ -376,27 +376,27 @@
             host.toy.service_time_s = scenario.service_time_s
             host.toy.checks_fence = scenario.checks_fence
         callers = load.Load(world=world, random=rng, keys=scenario.keys, pause_s=scenario.pause_s)
-        run = ScheduleState(world=world, load=callers, random=rng, scenario=scenario)
-        await worlds.start(world, list_objects(run))
+        schedule = Schedule(world=world, load=callers, random=rng, scenario=scenario)
+        await worlds.start(world, list_objects(schedule))
         async with trio.open_nursery() as caller_nursery:
             for _ in range(scenario.callers):
-                caller_nursery.start_soon(load.run_caller, run.load)
+                caller_nursery.start_soon(load.run_caller, schedule.load)
             await trio.sleep(scenario.warm_up_s)
             async with trio.open_nursery() as injections:
                 for fault in faults:
-                    injections.start_soon(_inject, run, fault)
+                    injections.start_soon(_inject, schedule, fault)
             await trio.sleep(scenario.recovery_s)
-            run.load.is_ended = True
-        collected = history.collect(world, run.load.sent, run.drains)
+            schedule.load.is_ended = True
+        collected = history.collect(world, schedule.load.sent, schedule.drains)
         nursery.cancel_scope.cancel()
     return collected
 
 
-async def _inject(run: ScheduleState, fault: Fault) -> None:
-    scenario = run.scenario
-    await trio.sleep(run.random.random() * scenario.max_onset_s)
+async def _inject(schedule: Schedule, fault: Fault) -> None:
+    scenario = schedule.scenario
+    await trio.sleep(schedule.random.random() * scenario.max_onset_s)
     range_s = scenario.max_fault_s - scenario.min_fault_s
-    await INJECTORS[fault](run, scenario.min_fault_s + run.random.random() * range_s)
+    await INJECTORS[fault](schedule, scenario.min_fault_s + schedule.random.random() * range_s)
 
 
 def run_schedule(seed: int, faults: list[Fault] | None = None) -> list[history.Violation]:
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -82,8 +82,10 @@
                 worlds.kill_node(world, busiest)
                 worlds.kill_target(world, busiest)
             elif move is not Move.NONE:
-                drained = zone if move is Move.OUT else None
-                await worlds.publish_objects(world, worlds.list_objects(shape, drained=drained))
+                drained_after = zone if move is Move.OUT else None
+                await worlds.publish_objects(
+                    world, worlds.list_objects(shape, drained=drained_after)
+                )
             completed_s = trio.current_time()
             await trio.sleep(began_s + OBSERVATION_S - trio.current_time())
             caller_load.is_ended = True
