--- a/bench/path.py
+++ b/bench/path.py
@@ -3,7 +3,7 @@
 ``python -m bench.path`` sends requests one after the other on a keep-alive connection to the toy
 target directly, through the target's node, and through another node with one hop. CPU is that of
 the whole process, so it includes the caller and the target; the CPU of the idle mesh is subtracted.
-A node's own measurement is the difference to the direct call.
+A node's own cost is the difference to the direct call.
 """
 
 import contextlib
--- a/bench/world.py
+++ b/bench/world.py
@@ -386,7 +386,7 @@
 async def connect(world: World, source: str, address: str) -> trio.abc.Stream:
     """Open a connection over the in-memory network.
 
-    Never returns while the link is cut in either direction.
+    Never returns if the link is cut in either direction.
 
     :param world: the mesh.
     :param source: the process that connects.
