--- a/src/ebonyvalve/process/assignment.py
+++ b/src/ebonyvalve/process/assignment.py
@@ -22,8 +22,8 @@
     """State of the cell for placement. Members without a valid lease are not listed.
 
     ``owners`` maps every shard of every keyed service to its owner, or to ``None``. ``loads`` is in
-    target seconds per second, as measured by the owners. ``hot_keys`` maps single keys to their
-    share of the load of their partition.
+    busy slots, that is seconds of work at the target per second, as measured by the owners.
+    ``hot_keys`` maps single keys to their share of the load of their partition.
     """
 
     members: dict[identity.NodeId, message.Member]
--- a/src/ebonyvalve/version/check.py
+++ b/src/ebonyvalve/version/check.py
@@ -44,7 +44,7 @@
     """The objects to check and their targets.
 
     ``targets`` has no entry for a service whose targets are not known. ``has_live_targets`` says
-    whether targets were announced by nodes, instead of only stated by the zones.
+    whether targets were announced by nodes, instead of only listed by the zones.
     """
 
     snapshot: route.Snapshot
@@ -58,7 +58,8 @@
     """Return every refusal and warning for a set of objects.
 
     :param entries: the whole set.
-    :param targets: the targets in service; without them, those that the zones state are used.
+    :param targets: the targets in service. A service that has none among them uses the targets that
+        the AvailabilityZone objects list.
     """
     snapshot = route.build_snapshot(identity.ConfigVersion(0), entries.objects)
     context = _Context(
@@ -105,7 +106,7 @@
 
 
 def list_stated_targets(entries: objects.ObjectSet) -> list[Target]:
-    """Return the targets that the zones state, with generated node names.
+    """Return the targets that the AvailabilityZone objects list, with generated node names.
 
     :param entries: the whole set.
     """
@@ -165,7 +166,7 @@
     for entry in announced or ():
         if entry.service in snapshot.services and entry.zone in snapshot.zones:
             grouped[entry.service].append(entry)
-    # No target of a new service has been announced yet; the targets that the zones state are used.
+    # No target of a new service has been announced yet; those that the zones list are used.
     announced_services = set(grouped)
     stated = list_stated_targets(objects.ObjectSet(objects=_list_entries(snapshot)))
     for entry in stated:
--- a/src/ebonyvalve/version/placement.py
+++ b/src/ebonyvalve/version/placement.py
@@ -1,8 +1,8 @@
 """Decides which node owns which shard, with as few moves as possible.
 
 Each plan contains every change that the view still lacks. A move that was planned earlier and is
-not visible yet is repeated with the same target: a caller that lost the plan receives it again, and
-a caller that has already started the move ignores the repetition.
+not visible yet is repeated with the same receiver: a caller that lost the plan receives it again,
+and a caller that has already started the move ignores the repetition.
 """
 
 import collections.abc
@@ -32,7 +32,7 @@
 STOP_GAP = 0.04
 # A node that returned or was cold receives shards until it is less than this below its fair share.
 FILL_GAP = 0.10
-# A move must leave its target at least this far (in fair shares) below the load its source had.
+# A move must leave its receiver at least this far (in fair shares) below the load its donor had.
 # Every move is then an improvement, so a series of moves under constant load ends.
 MIN_GAIN = 0.02
 # How long a gap must last before shards move, so that a short burst moves nothing. A gap below
@@ -45,17 +45,18 @@
 MIN_ELIGIBLE_S = 5.0
 # A shard whose load is below this fraction of the load to be moved is not worth a handover.
 MIN_MOVE_FRACTION = 0.02
-# Rebalancing moves per round and service, and the time between rounds (ROUND_INTERVAL_S). Requests
-# for a shard wait while it is handed over: with 8 of 256 shards, about 3% of the keys wait at a
-# time, and a fair share of 43 shards is restored in 6 s.
+# Rebalancing moves per service and ROUND_INTERVAL_S. Requests for a shard wait while it is handed
+# over: with 8 of 256 shards, about 3% of the keys wait at a time, and a fair share of 43 shards is
+# restored in 6 s.
 MOVES_PER_ROUND = 8
 # Moves that one decision may queue; MOVES_PER_ROUND limits how fast they are planned. Deciding on
 # all moves at the start keeps noise from prolonging a rebalance.
 MAX_QUEUED_MOVES = 64
 ROUND_INTERVAL_S = 1.0
-# Moves per round away from a node that must be emptied. The coordinator plans once a second; three
-# rounds move 72 shards, well above a fair share of 43, within the 3 s after which a drained zone
-# must receive no new work.
+# Moves per plan away from a node that must be emptied, including earlier ones that are not visible
+# yet. The coordinator plans once a second, and at once when members change; three plans move 72
+# shards, well above a fair share of 43, within the 3 s after which a drained zone must receive no
+# new work.
 DRAIN_MOVES_PER_ROUND = 24
 # A key gets a shard of its own when its load exceeds SPLIT_SHARE of a node's fair load for
 # SPLIT_AFTER_S, and returns to its partition when it stays below MERGE_SHARE for MERGE_AFTER_S.
@@ -78,7 +79,7 @@
 # shards of the service. It makes an idle service balance by the number of shards instead of by
 # noise.
 IDLE_UTILISATION = 0.01
-# Weight of the zone's utilisation, relative to the node's, in the choice of a target.
+# Weight of the zone's utilisation, relative to the node's, in the choice of a receiver.
 ZONE_WEIGHT = 0.25
 
 
@@ -152,13 +153,14 @@
     members: dict[identity.NodeId, message.Member]
     capacity: dict[identity.NodeId, float]
     cold: frozenset[identity.NodeId]
-    weights: dict[identity.ShardId, float]
+    # Loads of the shards in busy slots, including the assumed idle load.
+    loads: dict[identity.ShardId, float]
     # The shards that consist of a single key.
     key_shards: list[identity.ShardId]
     owners: dict[identity.ShardId, identity.NodeId]
     shards_by_node: dict[identity.NodeId, set[identity.ShardId]]
-    node_weight: dict[identity.NodeId, float]
-    zone_weight: dict[identity.ZoneId, float]
+    node_loads: dict[identity.NodeId, float]
+    zone_loads: dict[identity.ZoneId, float]
     zone_capacity: dict[identity.ZoneId, float]
 
 
@@ -501,12 +503,12 @@
         members=members,
         capacity=capacity,
         cold=frozenset(node for node in members if node in cold_since_s),
-        weights={shard: state.loads[shard] + idle_load for shard in shards},
+        loads={shard: state.loads[shard] + idle_load for shard in shards},
         key_shards=[shard for shard in shards if shard.startswith(prefix)],
         owners={},
         shards_by_node={node: set() for node in members},
-        node_weight=dict.fromkeys(members, 0.0),
-        zone_weight={member.zone: 0.0 for member in members.values()},
+        node_loads=dict.fromkeys(members, 0.0),
+        zone_loads={member.zone: 0.0 for member in members.values()},
         zone_capacity={member.zone: 0.0 for member in members.values()},
     )
     for node, member in members.items():
@@ -525,12 +527,12 @@
     :param shard: the shard.
     :param node: its next owner.
     """
-    weight = layout.weights[shard]
+    load = layout.loads[shard]
     source = layout.owners.get(shard)
-    for holder, change in ((source, -weight), (node, weight)):
+    for holder, change in ((source, -load), (node, load)):
         if holder in layout.members:
-            layout.node_weight[holder] += change
-            layout.zone_weight[layout.members[holder].zone] += change
+            layout.node_loads[holder] += change
+            layout.zone_loads[layout.members[holder].zone] += change
     if source in layout.members:
         layout.shards_by_node[source].discard(shard)
     if node in layout.members:
@@ -538,20 +540,20 @@
     layout.owners[shard] = node
 
 
-def score_node(layout: Layout, node: identity.NodeId, weight: float) -> float:
+def score_node(layout: Layout, node: identity.NodeId, load: float) -> float:
     """Return the weighted utilisation of a node and its zone with more load; lower is better.
 
     :param layout: the layout.
     :param node: a member in the layout.
-    :param weight: the load to add, in slots.
+    :param load: the load to add, in busy slots.
     """
     zone = layout.members[node].zone
-    return (layout.node_weight[node] + weight) / layout.capacity[node] + ZONE_WEIGHT * (
-        layout.zone_weight[zone] + weight
+    return (layout.node_loads[node] + load) / layout.capacity[node] + ZONE_WEIGHT * (
+        layout.zone_loads[zone] + load
     ) / layout.zone_capacity[zone]
 
 
-def choose_target(layout: Layout, shard: identity.ShardId) -> identity.NodeId | None:
+def choose_receiver(layout: Layout, shard: identity.ShardId) -> identity.NodeId | None:
     """Return the allowed node with the lowest score, or ``None`` when no node may own the shard.
 
     :param layout: the layout.
@@ -562,8 +564,8 @@
         for node, member in layout.members.items()
         if is_allowed(member, shard, layout.constraints)
     ]
-    weight = layout.weights[shard]
-    return min(allowed, key=lambda node: (score_node(layout, node, weight), node), default=None)
+    load = layout.loads[shard]
+    return min(allowed, key=lambda node: (score_node(layout, node, load), node), default=None)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -592,13 +594,13 @@
     ]
     min_loads = {
         node: (
-            layout.node_weight[node]
+            layout.node_loads[node]
             if node in layout.cold
-            else max((layout.weights[shard] for shard in layout.shards_by_node[node]), default=0.0)
+            else max((layout.loads[shard] for shard in layout.shards_by_node[node]), default=0.0)
         )
         for node in nodes
     }
-    total = sum(layout.node_weight[node] for node in nodes)
+    total = sum(layout.node_loads[node] for node in nodes)
     utilisation = 0.0
     at_min_load: set[identity.NodeId] = set()
     while len(at_min_load) < len(nodes):
@@ -623,9 +625,9 @@
     :param node: a node that the share covers.
     """
     fair_load = share.utilisation * layout.capacity[node]
-    weight = layout.node_weight[node]
-    goal = fair_load if weight < fair_load else max(fair_load, share.min_loads[node])
-    return (weight - goal) / fair_load if fair_load > 0.0 else 0.0
+    load = layout.node_loads[node]
+    goal = fair_load if load < fair_load else max(fair_load, share.min_loads[node])
+    return (load - goal) / fair_load if fair_load > 0.0 else 0.0
 
 
 def pick_move(
@@ -636,7 +638,7 @@
     fixed: collections.abc.Container[identity.ShardId],
     min_gap: float,
 ) -> tuple[identity.ShardId, identity.NodeId] | None:
-    """Return the next shard to move to balance the load and its target, or ``None``.
+    """Return the next shard to move to balance the load and its receiver, or ``None``.
 
     Tries the most overloaded donor and the least utilised receiver first.
 
@@ -645,7 +647,7 @@
     :param share: from :func:`find_fair_share`.
     :param receivers: the nodes that may receive shards.
     :param fixed: shards that must not move now.
-    :param min_gap: the minimum difference between the gaps of source and target, in fair shares.
+    :param min_gap: the minimum difference between the gaps of donor and receiver, in fair shares.
     """
     gaps = {node: find_gap(layout, share, node) for node in share.min_loads}
     donors = sorted((node for node in gaps if gaps[node] > 0.0), key=lambda n: (-gaps[n], n))
@@ -656,7 +658,7 @@
     for donor in donors:
         movable = sorted(
             (shard for shard in layout.shards_by_node[donor] if shard not in fixed),
-            key=lambda shard: (-layout.weights[shard], shard),
+            key=lambda shard: (-layout.loads[shard], shard),
         )
         for receiver in candidates:
             if gaps[donor] - gaps[receiver] < min_gap:
@@ -688,25 +690,25 @@
     :param donor: the present owner.
     :param receiver: the next owner.
     """
-    utilisation, weight, capacity = share.utilisation, layout.node_weight, layout.capacity
-    surplus = weight[donor] - max(utilisation * capacity[donor], share.min_loads[donor])
-    transferable = min(surplus, utilisation * capacity[receiver] - weight[receiver])
-    max_utilisation = weight[donor] / capacity[donor] - MIN_GAIN * utilisation
+    utilisation, loads, capacity = share.utilisation, layout.node_loads, layout.capacity
+    surplus = loads[donor] - max(utilisation * capacity[donor], share.min_loads[donor])
+    transferable = min(surplus, utilisation * capacity[receiver] - loads[receiver])
+    max_utilisation = loads[donor] / capacity[donor] - MIN_GAIN * utilisation
     member = layout.members[receiver]
-    fair_count = len(layout.weights) * capacity[receiver] / sum(capacity.values())
+    fair_count = len(layout.loads) * capacity[receiver] / sum(capacity.values())
     may_take_back = len(layout.shards_by_node[receiver]) + 1 <= fair_count
     best: identity.ShardId | None = None
     for shard in movable:
-        load = layout.weights[shard]
-        if (weight[receiver] + load) / capacity[receiver] > max_utilisation:
+        load = layout.loads[shard]
+        if (loads[receiver] + load) / capacity[receiver] > max_utilisation:
             continue
         if not is_allowed(member, shard, layout.constraints):
             continue
         if may_take_back and load <= transferable and state.former_owners.get(shard) == receiver:
             return shard
-        if best is None or abs(load - transferable) < abs(layout.weights[best] - transferable):
+        if best is None or abs(load - transferable) < abs(layout.loads[best] - transferable):
             best = shard
-    if best is not None and layout.weights[best] < MIN_MOVE_FRACTION * transferable:
+    if best is not None and layout.loads[best] < MIN_MOVE_FRACTION * transferable:
         return None
     return best
 
@@ -751,13 +753,13 @@
     for move in planned.values():
         if move.source is not None and move.reason is not assignment.MoveReason.ORPHANED:
             in_flight[move.source] = in_flight.get(move.source, 0) + 1
-    for shard, reason in sorted(forced, key=lambda entry: (-layout.weights[entry[0]], entry[0])):
+    for shard, reason in sorted(forced, key=lambda entry: (-layout.loads[entry[0]], entry[0])):
         if shard in planned:
             is_forced = True
             continue
         owner = view.owners[shard]
-        target = choose_target(layout, shard)
-        if target is None:
+        receiver = choose_receiver(layout, shard)
+        if receiver is None:
             continue
         is_forced = True
         if reason is not assignment.MoveReason.ORPHANED and owner is not None:
@@ -765,8 +767,8 @@
                 continue
             in_flight[owner] = in_flight.get(owner, 0) + 1
             state.former_owners[shard] = owner
-        assign(layout, shard, target)
-        planned[shard] = assignment.Move(shard=shard, source=owner, target=target, reason=reason)
+        assign(layout, shard, receiver)
+        planned[shard] = assignment.Move(shard=shard, source=owner, target=receiver, reason=reason)
     return is_forced
 
 
@@ -788,7 +790,7 @@
     now_s = view.now_s
     services = {layout.constraints.service.name: layout.constraints.service}
     named_keys = layout.constraints.key_zones.keys()
-    fair_load = sum(layout.weights.values()) / max(1, len(layout.members))
+    fair_load = sum(layout.loads.values()) / max(1, len(layout.members))
     split: list[identity.ShardId] = []
     merge: list[identity.ShardId] = []
     merging = sum(move.reason is assignment.MoveReason.HOT_KEY for move in planned.values())
@@ -808,7 +810,7 @@
         if parent in layout.owners and parent not in planned:
             split.append(key)
     for key in layout.key_shards:
-        if key in named_keys or layout.weights[key] > MERGE_SHARE * fair_load:
+        if key in named_keys or layout.loads[key] > MERGE_SHARE * fair_load:
             state.cool_since_s.pop(key, None)
             continue
         if now_s - state.cool_since_s.setdefault(key, now_s) < MERGE_AFTER_S or key in planned:
@@ -905,12 +907,12 @@
         ):
             return []
         min_gap = STOP_GAP
-        shard, target = pick
+        shard, receiver = pick
         is_key = identity.split_shard(shard)[2] is not None
         reason = assignment.MoveReason.HOT_KEY if is_key else assignment.MoveReason.REBALANCE
-        source = layout.owners[shard]
-        queue.append(assignment.Move(shard=shard, source=source, target=target, reason=reason))
-        assign(layout, shard, target)
+        donor = layout.owners[shard]
+        queue.append(assignment.Move(shard=shard, source=donor, target=receiver, reason=reason))
+        assign(layout, shard, receiver)
         fixed.add(shard)
         share = find_fair_share(layout)
     state.imbalanced_since_s.pop(service, None)
@@ -961,7 +963,7 @@
     :param planned: the moves planned so far; changed in place.
     """
     for shard, pending in state.pending.items():
-        if shard not in layout.weights:
+        if shard not in layout.loads:
             continue
         move = pending.move
         reason = find_reason(shard, view.owners[shard], view.members, layout.constraints)
@@ -969,12 +971,12 @@
             assignment.MoveReason.REBALANCE,
             assignment.MoveReason.HOT_KEY,
         )
-        target = layout.members.get(move.target)
+        receiver = layout.members.get(move.target)
         if (
             view.owners[shard] == move.source
             and reason is (None if is_voluntary else move.reason)
-            and target is not None
-            and is_allowed(target, shard, layout.constraints)
+            and receiver is not None
+            and is_allowed(receiver, shard, layout.constraints)
             and view.now_s - pending.planned_s < PENDING_TIMEOUT_S
         ):
             assign(layout, shard, move.target)
@@ -1066,7 +1068,7 @@
 
 
 def record_losses(state: State, view: assignment.PlacementView) -> None:
-    """Record the last owner of shards whose owner failed since the last view.
+    """Record the last owner of shards whose owner failed, and forget it when the shard is back.
 
     :param state: changed in place.
     :param view: the view.
--- a/src/ebonyvalve/version/plan.py
+++ b/src/ebonyvalve/version/plan.py
@@ -74,7 +74,12 @@
 
 
 class Plan(msgspec.Struct, kw_only=True, frozen=True):
-    """The effects of a publication, compared with version ``base``, which is in force."""
+    """The effects of a publication, compared with version ``base``, which is in force.
+
+    ``takes_s`` is the estimated time in seconds until the version is in force and all moves are
+    done. ``refused_meanwhile`` describes, a line each, which requests are refused and which targets
+    get no load or less load.
+    """
 
     base: identity.ConfigVersion
     is_safe: bool
@@ -142,7 +147,7 @@
         changes=changes,
         impacts=impacts,
         takes_s=takes_s,
-        refused_meanwhile=_list_refused(before, after, all_findings),
+        refused_meanwhile=_describe_side_effects(before, after, all_findings),
         findings=all_findings,
     )
 
@@ -150,7 +155,8 @@
 def build_estimate(targets: collections.abc.Sequence[check.Target] | None) -> PreviewFunction:
     """Return a preview function that assumes that shards are spread evenly by slots.
 
-    :param targets: the targets in service; without them, those that the zones state are used.
+    :param targets: the targets in service; ``None`` uses those listed in the
+        AvailabilityZone objects.
     """
 
     def preview(before: objects.ObjectSet, after: objects.ObjectSet) -> list[Impact]:
@@ -325,7 +331,7 @@
     ]
 
 
-def _list_refused(
+def _describe_side_effects(
     before: objects.ObjectSet, after: objects.ObjectSet, findings: list[finding.Finding]
 ) -> list[str]:
     old = route.build_snapshot(identity.ConfigVersion(0), before.objects)
--- a/src/ebonyvalve/version/traffic.py
+++ b/src/ebonyvalve/version/traffic.py
@@ -27,9 +27,9 @@
 class Route:
     """How requests for one host and path prefix are forwarded.
 
-    ``timeout_s`` is the time limit of the whole request, ``objective_s`` the latency objective, and
-    ``attempts`` the maximum number of targets that a request is sent to. ``priority`` 0 is the
-    highest.
+    ``timeout_s`` is the time limit of the whole request and ``objective_s`` the latency objective.
+    ``attempts`` is the maximum number of attempts that may have run; attempts that were refused
+    don't count. ``priority`` 0 is the highest.
     """
 
     name: str
