--- a/src/ebonyvalve/process/limit.py
+++ b/src/ebonyvalve/process/limit.py
@@ -1,4 +1,7 @@
-"""Admission to the node's local target: concurrency limit, slow start and a bounded queue."""
+"""Admission to the node's local target: concurrency limit, slow start and a bounded queue.
+
+Used by ``process.daemon``; ``platform.daemon`` uses ``process.load.admission``.
+"""
 
 import dataclasses
 import enum
@@ -11,23 +14,28 @@
 
 # The limit may exceed the announced slots, because they are the operator's estimate.
 MAX_LIMIT_PER_SLOT = 1.5
+# Factors of the limit after a reply that was shed in the steady phase, when replies get slower,
+# and after a reply that was shed in slow start.
 SHED_DECREASE = 0.7
 LATENCY_DECREASE = 0.85
 WARMING_DECREASE = 0.5
 # A target gets slower with load. At twice its normal latency, requests are queuing inside it.
 OVERLOAD_FACTOR = 2.0
+# A reply is slow if it takes more than this times the normal latency.
 SLOW_FACTOR = 3.0
 # With exponentially distributed service times, 1 reply in 20 is slow, so 8 slow replies in a row
 # occur by chance once in 10^10.
-COLD_RUN = 8
+MIN_SLOW_REPLIES = 8
 # Only this node sends work to the target, so a warm target has no reason to shed while the running
 # requests don't exceed its slots. Several such replies are needed, as a single one may be a glitch.
-SHED_RUN = 3
+MIN_SHED_REPLIES = 3
+# Weight of a new reply in the recent latency.
 RECENT_WEIGHT = 0.1
 # In slow start, the mean of about 50 replies is compared with the lowest such mean so far. With
 # exponentially distributed service times it varies by a tenth. The mean of 10 replies doubles by
 # chance every few seconds, which kept a healthy target in slow start forever.
 WARMING_WEIGHT = 0.02
+# Weight of a new reply in the normal latency and the normal gap between replies.
 NORMAL_WEIGHT = 0.01
 # Slow replies weigh less in the normal latency; otherwise a cold target would come to seem normal.
 SLOW_WEIGHT = 0.001
@@ -36,6 +44,7 @@
 MAX_GAP_FACTOR = 10.0
 # During a handover of 100 ms at 500 requests/s, 50 requests wait for a target with 10 slots.
 QUEUE_PER_SLOT = 10
+# Lower bound of the retry delay given to refused callers.
 MIN_RETRY_AFTER_S = 0.05
 
 
@@ -104,6 +113,7 @@
     limit: float = 1.0
     # Time for which the target has been busy since it became cold; an idle target doesn't warm up.
     busy_s: float = 0.0
+    # Start times of the running requests, oldest first.
     running: dict[Ticket, float] = dataclasses.field(default_factory=dict)
     # Waiting requests in order of arrival, with their deadlines.
     waiting: dict[Ticket, float] = dataclasses.field(default_factory=dict)
@@ -112,12 +122,13 @@
     is_reported_cold: bool = False
     recent_latency_s: float | None = None
     normal_latency_s: float | None = None
+    # Moving average of the seconds between replies, without the gaps before slow ones.
     normal_gap_s: float | None = None
     warming_latency_s: float | None = None
     warming_replies: int = 0
     best_warming_latency_s: float | None = None
-    slow_run: int = 0
-    shed_run: int = 0
+    slow_replies: int = 0
+    shed_replies: int = 0
     slow_since: float = 0.0
     last_reply_at: float = float("-inf")
     last_ok_at: float = float("-inf")
@@ -194,8 +205,8 @@
         _decrease_limit(
             target, now, WARMING_DECREASE if target.phase is Phase.WARMING else SHED_DECREASE
         )
-        target.shed_run += len(target.running) < target.slots
-        if target.phase is Phase.STEADY and target.shed_run >= SHED_RUN:
+        target.shed_replies += len(target.running) < target.slots
+        if target.phase is Phase.STEADY and target.shed_replies >= MIN_SHED_REPLIES:
             enter_slow_start(target)
     if reply is Reply.OK and not _detect_cold(target, now):
         _increase_limit(target, now, started_at)
@@ -248,7 +259,7 @@
 
 
 def enter_slow_start(target: Target) -> None:
-    """Put the target into slow start, because it is new, has recovered or was restarted.
+    """Put the target into slow start: it is new or has recovered, or seems or reports itself cold.
 
     :param target: the target's state.
     """
@@ -259,8 +270,8 @@
     target.warming_replies = 0
     target.best_warming_latency_s = None
     target.recent_latency_s = None
-    target.slow_run = 0
-    target.shed_run = 0
+    target.slow_replies = 0
+    target.shed_replies = 0
 
 
 def record_report(target: Target, *, is_cold: bool) -> None:
@@ -335,13 +346,13 @@
     if target.normal_gap_s is None:
         target.normal_gap_s = min(gap_s, latency_s)
     if latency_s > SLOW_FACTOR * target.normal_latency_s:
-        if target.slow_run == 0:
+        if target.slow_replies == 0:
             target.slow_since = now
-        target.slow_run += 1
+        target.slow_replies += 1
         target.normal_latency_s += SLOW_WEIGHT * (latency_s - target.normal_latency_s)
         return
-    target.slow_run = 0
-    target.shed_run = 0
+    target.slow_replies = 0
+    target.shed_replies = 0
     target.normal_latency_s += NORMAL_WEIGHT * (latency_s - target.normal_latency_s)
     # Without a cap, an idle hour would make the next 100 replies look like a rising load.
     gap_s = min(gap_s, MAX_GAP_FACTOR * target.normal_gap_s)
@@ -365,10 +376,10 @@
         if now - started_at <= SLOW_FACTOR * target.normal_latency_s:
             break
         overdue += 1
-    if target.slow_run + overdue < COLD_RUN:
+    if target.slow_replies + overdue < MIN_SLOW_REPLIES:
         return False
-    if target.slow_run > 1:
-        gap_s = (now - target.slow_since) / (target.slow_run - 1)
+    if target.slow_replies > 1:
+        gap_s = (now - target.slow_since) / (target.slow_replies - 1)
         if gap_s < 0.8 * target.normal_gap_s:
             return False
     enter_slow_start(target)
@@ -382,6 +393,7 @@
     target.last_decrease_at = now
     target.limit = max(1.0, target.limit * factor)
     if target.phase is Phase.WARMING and target.slots > 1:
+        # The ramp continues from the lowered limit.
         target.busy_s = (target.limit - 1.0) / (target.slots - 1) * target.warm_up_s
 
 
--- a/tests/process/test_limit.py
+++ b/tests/process/test_limit.py
@@ -191,9 +191,9 @@
 @pytest.mark.parametrize(
     ("name", "value", "check"),
     [
-        ("COLD_RUN", 10**9, lambda: test_cold_turns(slow_down, limit.Phase.WARMING)),
-        ("SHED_RUN", 10**9, lambda: test_cold_turns(shed, limit.Phase.WARMING)),
-        ("COLD_RUN", 3, lambda: test_cold_turns(hiccup, limit.Phase.STEADY)),
+        ("MIN_SLOW_REPLIES", 10**9, lambda: test_cold_turns(slow_down, limit.Phase.WARMING)),
+        ("MIN_SHED_REPLIES", 10**9, lambda: test_cold_turns(shed, limit.Phase.WARMING)),
+        ("MIN_SLOW_REPLIES", 3, lambda: test_cold_turns(hiccup, limit.Phase.STEADY)),
         ("_find_max_limit", lambda target: 99.0, lambda: test_slow_start_grows_with_work_only(10)),
         ("read_limit", lambda target: 99, test_limit_and_queue_are_never_exceeded),
         ("withdraw", lambda target, ticket: None, test_limit_and_queue_are_never_exceeded),
