--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -1,8 +1,11 @@
 """Decisions of a cell's coordinator and standbys, as pure functions of state, event and time.
 
 A cell is a group of nodes with one coordinator, which renews their leases, assigns shards to them
-and commits the assignments to the table. This module covers the rows in the table, claims of the
-cell, the consent of standbys, leases, and which shards to revoke, commit and grant.
+and commits the assignments to the table. A node claims the cell by writing a cell row with a higher
+term that names it as coordinator. This module covers the rows in the table, claims of the cell, the
+consent of standbys, leases, and which shards to revoke, commit and grant.
+
+Used by ``process.daemon``; ``platform.daemon`` uses ``process.keyspace``.
 """
 
 import collections.abc
@@ -102,8 +105,9 @@
 
     fence: identity.Fence
     excluded: frozenset[identity.KeyId] = frozenset()
-    # Whether the node has confirmed this fencing token and these excluded keys.
-    is_acked: bool = False
+    # Whether the node is known to hold the shard under this fencing token and with these excluded
+    # keys, from its acceptance of the grant or from its own report.
+    is_accepted: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -138,9 +142,11 @@
     last_heartbeat_at_s: float
     # Consecutive heartbeats that reported no valid lease although the previous one was renewed.
     unreceived: int = 0
-    is_answered: bool = False
-    # Whether the lease was renewed since the node's holdings were collected, or there were any.
-    is_renewed: bool = False
+    # Whether the last heartbeat was answered with a renewal.
+    was_renewed: bool = False
+    # Whether the node counts as a member while its lease is valid: it reported holdings, or its
+    # lease was renewed since.
+    has_joined: bool = False
     loads: list[message.ShardLoad] = dataclasses.field(default_factory=list)
     hot_keys: list[tuple[identity.ServiceId, identity.KeyId, float]] = dataclasses.field(
         default_factory=list
@@ -566,13 +572,13 @@
         )
     if node_lease is None or now >= node_lease.end_s or heartbeat.term < state.row.term:
         return state, HeartbeatAnswer.COLLECT
-    unreceived = 0 if heartbeat.is_live else node_lease.unreceived + int(node_lease.is_answered)
+    unreceived = 0 if heartbeat.is_live else node_lease.unreceived + int(node_lease.was_renewed)
     updated = dataclasses.replace(
         node_lease,
         member=heartbeat.member,
         last_heartbeat_at_s=now,
         unreceived=unreceived,
-        is_answered=False,
+        was_renewed=False,
     )
     state = _put_lease(state, updated)
     if heartbeat.config_version > state.config_version:
@@ -584,8 +590,8 @@
     renewed = dataclasses.replace(
         updated,
         end_s=max(updated.end_s, lease.compute_lease_end(now)),
-        is_renewed=True,
-        is_answered=True,
+        has_joined=True,
+        was_renewed=True,
         loads=heartbeat.loads or updated.loads,
         hot_keys=heartbeat.hot_keys or updated.hot_keys,
     )
@@ -695,7 +701,7 @@
         member=following.member,
         end_s=end_s,
         last_heartbeat_at_s=now,
-        is_renewed=bool(following.holdings),
+        has_joined=bool(following.holdings),
     )
     state = _put_lease(state, node_lease)
     changes: dict[identity.ShardId, Assignment] = {}
@@ -709,7 +715,7 @@
         holder = Holder(
             fence=holding.fence,
             excluded=frozenset(holding.excluded),
-            is_acked=is_owner and holding.fence == entry.fence,
+            is_accepted=is_owner and holding.fence == entry.fence,
         )
         changes[holding.shard] = dataclasses.replace(
             entry,
@@ -772,7 +778,7 @@
     if node != state.instance.node:
         return True
     return all(
-        entry.target is None and all(holder.is_acked for holder in entry.holders.values())
+        entry.target is None and all(holder.is_accepted for holder in entry.holders.values())
         for entry in entries
     )
 
@@ -785,7 +791,7 @@
     :param now: the time in seconds.
     """
     node_lease = state.leases.get(node)
-    if node_lease is None or not node_lease.is_renewed:
+    if node_lease is None or not node_lease.has_joined:
         return False
     return now < node_lease.end_s and node_lease.unreceived < MAX_UNRECEIVED_RENEWALS
 
@@ -977,7 +983,7 @@
     grants: dict[identity.NodeId, list[message.Holding]] = {}
     for shard, entry in state.assignments.items():
         keys = excluded.get(shard, frozenset())
-        if _is_steady(entry, keys):
+        if _needs_no_action(entry, keys):
             continue
         revokes += [
             (node, shard) for node in entry.holders if _should_revoke(state, shard, entry, node)
@@ -990,12 +996,12 @@
     return Actions(revokes=revokes, grants=grants)
 
 
-def _is_steady(entry: Assignment, excluded: frozenset[identity.KeyId]) -> bool:
+def _needs_no_action(entry: Assignment, excluded: frozenset[identity.KeyId]) -> bool:
     """Return whether a shard needs no action, as is the case for nearly all shards at any time."""
     holder = entry.holders.get(entry.owner)
     if holder is None or len(entry.holders) > 1 or entry.target is not None or entry.is_merged:
         return False
-    return holder.is_acked and holder.fence == entry.fence and holder.excluded == excluded
+    return holder.is_accepted and holder.fence == entry.fence and holder.excluded == excluded
 
 
 def _list_excluded(
@@ -1020,6 +1026,10 @@
 
 
 def _merges_in_place(state: Coordinator, entry: Assignment, node: identity.NodeId) -> bool:
+    """Return whether a node that holds a merged key also owns and holds its partition.
+
+    A grant of the partition then merges them at the node.
+    """
     parent = state.assignments.get(entry.parent) if entry.parent is not None else None
     return parent is not None and parent.owner == node and node in parent.holders
 
@@ -1031,12 +1041,17 @@
     excluded: frozenset[identity.KeyId],
     now: float,
 ) -> bool:
+    """Return whether a shard can be granted to its committed owner now.
+
+    No other node may hold it. The owner must lack the committed fencing token or the present
+    excluded keys, or must not have accepted its last grant.
+    """
     if entry.is_merged or entry.owner not in state.leases or entry.target is not None:
         return False
     if any(node != entry.owner for node in entry.holders):
         return False
     holder = entry.holders.get(entry.owner)
-    if holder is not None and holder.is_acked and holder.excluded == excluded:
+    if holder is not None and holder.is_accepted and holder.excluded == excluded:
         return holder.fence < entry.fence and entry.is_grantable
     if holder is None and not (entry.is_grantable and now >= entry.free_at_s):
         return False
@@ -1051,7 +1066,7 @@
         parent = state.assignments.get(entry.parent, Assignment())
         key = identity.split_shard(shard)[2]
         return all(
-            node == entry.owner or (holder.is_acked and key in holder.excluded)
+            node == entry.owner or (holder.is_accepted and key in holder.excluded)
             for node, holder in parent.holders.items()
         )
     return all(
@@ -1096,8 +1111,10 @@
         granted = Holder(fence=holding.fence, excluded=frozenset(holding.excluded))
         if entry is None or holder is None or holder != granted:
             continue
-        acked = dataclasses.replace(granted, is_acked=True)
-        changes[holding.shard] = dataclasses.replace(entry, holders={**entry.holders, node: acked})
+        accepted = dataclasses.replace(granted, is_accepted=True)
+        changes[holding.shard] = dataclasses.replace(
+            entry, holders={**entry.holders, node: accepted}
+        )
         for shard, child in merged.items():
             if child.parent == holding.shard and node in child.holders:
                 changes[shard] = _drop_holder(child, node)
@@ -1166,7 +1183,11 @@
     ]
     moved = {change.shard for change in changes}
     for shard, parent in state.pending_splits.items():
-        if shard not in state.assignments and _is_stable(state, parent) and parent not in moved:
+        if (
+            shard not in state.assignments
+            and _is_held_by_owner(state, parent)
+            and parent not in moved
+        ):
             parent_entry = state.assignments[parent]
             changes.append(_make_split(shard, parent, parent_entry))
             moved.add(parent)
@@ -1175,7 +1196,7 @@
         partition = entry.parent if entry is not None else None
         if entry is None or partition is None or moved & {shard, partition}:
             continue
-        if not (_is_stable(state, shard) and _is_stable(state, partition)):
+        if not (_is_held_by_owner(state, shard) and _is_held_by_owner(state, partition)):
             continue
         if state.assignments[partition].owner == entry.owner:
             changes += _make_merge(shard, entry, partition, state.assignments[partition])
@@ -1222,14 +1243,18 @@
     return identity.Fence(max(fences) + 1)
 
 
-def _is_stable(state: Coordinator, shard: identity.ShardId) -> bool:
+def _is_held_by_owner(state: Coordinator, shard: identity.ShardId) -> bool:
+    """Return whether the owner alone holds a shard, and no move or merge is in progress.
+
+    The owner must have a lease, and hold the shard under the committed fencing token.
+    """
     entry = state.assignments.get(shard)
     if entry is None or entry.target is not None or entry.is_merged:
         return False
     if set(entry.holders) != {entry.owner} or entry.owner not in state.leases:
         return False
     holder = entry.holders[entry.owner]
-    return holder.is_acked and holder.fence == entry.fence
+    return holder.is_accepted and holder.fence == entry.fence
 
 
 def _make_split(
--- a/src/ebonyvalve/process/lease.py
+++ b/src/ebonyvalve/process/lease.py
@@ -2,6 +2,8 @@
 
 Pure functions of state, event and time. A node serves shards only while its lease is valid, and
 the coordinator renews leases only while its standbys have consented not to claim the cell.
+
+Used by ``process.daemon``; ``platform.daemon`` uses ``process.keyspace``, which has its own leases.
 """
 
 import collections.abc
@@ -13,8 +15,12 @@
 
 from ebonyvalve.process import identity, message
 
+# Every heartbeat extends the lease to LEASE_S after it was sent, so one lost heartbeat does not end
+# it.
 HEARTBEAT_S = 0.150
 LEASE_S = 0.450
+# A consent is valid for CONSENT_S after it was requested, and is requested every CONSENT_PERIOD_S,
+# so one lost request does not end it.
 CONSENT_S = 0.300
 CONSENT_PERIOD_S = 0.100
 # The clocks of two VMs may drift apart by this fraction. The side that waits for an expiry adds it.
@@ -318,7 +324,7 @@
     """
     state = lapse(state, now)
     holdings = request.holdings
-    if not all(_may_take(state, request, holding) for holding in holdings):
+    if not all(_may_accept(state, request, holding) for holding in holdings):
         return state, False
     holding_state = HoldingState.SERVING if is_live(state, now) else HoldingState.SUSPENDED
     changed = dict(state.holdings)
@@ -402,7 +408,7 @@
     return all(now < consents.get(node, -math.inf) for node in standbys)
 
 
-def _may_take(state: Node, request: message.Grant, holding: message.Holding) -> bool:
+def _may_accept(state: Node, request: message.Grant, holding: message.Holding) -> bool:
     held = state.holdings.get(holding.shard)
     is_older = held is not None and held.fence > holding.fence
     return accepts(state, request, holding.shard) and not is_older
--- a/src/ebonyvalve/process/ownership.py
+++ b/src/ebonyvalve/process/ownership.py
@@ -1,7 +1,10 @@
 """Shard ownership of a node: lease renewal, claims of the cell, and the coordinator's tasks.
 
+A node claims the cell by writing a cell row with a higher term that names it as coordinator.
 The decisions are pure functions in ``lease`` and ``cell``; this module calls them with messages of
 peers, rows of the table and the time, and sends what they return.
+
+Used by ``process.daemon``; ``platform.daemon`` uses ``process.keyspace``.
 """
 
 import collections.abc
@@ -32,7 +35,8 @@
 HEAD_POLL_INTERVAL_S = 0.5
 PLAN_INTERVAL_S = 1.0
 ASK_TIMEOUT_S = 0.1
-# A release waits for the requests in flight; their deadlines are shorter than this.
+# Time limit of a release, which waits for the requests in flight. After it, the revoke is sent
+# again.
 RELEASE_TIMEOUT_S = 2.0
 FETCH_TIMEOUT_S = 2.0
 STORE_TIMEOUT_S = 5.0
@@ -128,13 +132,15 @@
 class Leadership:
     """State of the coordinator's tasks, from the claim until it steps down."""
 
+    # The state of the coordinator; the functions of ``cell`` return its replacement.
     rules: cell.Coordinator
     scope: trio.CancelScope
     nursery: trio.Nursery
     is_loaded: bool = False
     # The node is stopping and hands its role over; it renews no more leases.
-    is_closing: bool = False
+    is_handing_over: bool = False
     last_sequence: int = 0
+    # Token memories of released shards that are not granted yet.
     memories: dict[identity.ShardId, message.TokenMemory] = dataclasses.field(default_factory=dict)
     collecting: set[identity.NodeId] = dataclasses.field(default_factory=set)
     revoking: set[tuple[identity.NodeId, identity.ShardId]] = dataclasses.field(default_factory=set)
@@ -149,6 +155,8 @@
     store_lock: trio.Lock = dataclasses.field(default_factory=trio.Lock)
     store_responsive_at_s: float = -math.inf
     planned_at_s: float = -math.inf
+    # Summary of the inputs of the last plan: members version, configuration version and number of
+    # orphans.
     planned_for: tuple[int, int, int] = (-1, -1, -1)
     plan_due: trio.Event = dataclasses.field(default_factory=trio.Event)
     commit_due: trio.Event = dataclasses.field(default_factory=trio.Event)
@@ -304,6 +312,11 @@
 
 def _make_find_grace(state: State) -> cell.FindGrace:
     def find_grace(service: identity.ServiceId) -> float:
+        """Return the grace period of a service in seconds.
+
+        It is 0 if the service's targets check fencing tokens and so refuse the requests of a lost
+        owner, otherwise the deadline of its requests.
+        """
         traits = state.ports.describe_service(service)
         return 0.0 if traits.checks_fence else traits.deadline_s
 
@@ -531,7 +544,7 @@
 
 async def _handle_revoke(state: State, request: message.Revoke) -> message.Message:
     if not all(lease.accepts(state.node, request, shard) for shard in request.shards):
-        return _refuse(state, "overtaken order")
+        return _refuse(state, "stale revoke: other term, other incarnation or overtaken")
     node, held = lease.begin_release(state.node, request, _now(state))
     _put_node(state, node)
     for shard in held:
@@ -571,10 +584,12 @@
 
 def _handle_grant(state: State, request: message.Grant) -> message.Message:
     before = state.node
-    node, is_taken = lease.grant(before, request, _now(state))
+    node, is_accepted = lease.grant(before, request, _now(state))
     _put_node(state, node)
-    if not is_taken:
-        return _refuse(state, "overtaken order")
+    if not is_accepted:
+        return _refuse(
+            state, "stale grant: other term, other incarnation, lower fencing token or overtaken"
+        )
     memories = {memory.shard: memory for memory in request.memories}
     for holding in request.holdings:
         if holding.shard in state.releasing:
@@ -595,11 +610,11 @@
     ports = state.ports
     held = before.holdings.get(holding.shard)
     is_kept = held is not None and held.fence == holding.fence
-    is_raised = held is not None and held.state is lease.HoldingState.SERVING
+    is_serving = held is not None and held.state is lease.HoldingState.SERVING
     if memory is not None and not is_kept:
         ports.forget([holding.shard])
         ports.install([memory])
-    elif held is not None and is_raised and not is_kept:
+    elif held is not None and is_serving and not is_kept:
         ports.inherit(message.Holding(shard=holding.shard, fence=held.fence), holding)
     elif not is_kept:
         ports.forget([holding.shard])
@@ -737,7 +752,7 @@
     announced: dict[identity.NodeId, identity.Incarnation],
 ) -> None:
     instance = _make_instance(state)
-    bound = cell.find_lease_bound(
+    unknown_until_s = cell.find_lease_bound(
         row,
         instance=instance,
         standby=state.standby,
@@ -745,14 +760,14 @@
         read_at_s=read_at,
         now=_now(state),
     )
-    if bound is None or state.standby.is_claiming:
+    if unknown_until_s is None or state.standby.is_claiming:
         return
     claimed = cell.claim(row, instance, state.node.term)
     state.standby = dataclasses.replace(state.standby, is_claiming=True)
-    is_ours, version = await _write_cell(state, claimed, version)
+    is_written, version = await _write_cell(state, claimed, version)
     state.standby = dataclasses.replace(state.standby, is_claiming=False)
-    if is_ours:
-        await _become_coordinator(state, claimed, version, bound)
+    if is_written:
+        await _become_coordinator(state, claimed, version, unknown_until_s)
     else:
         state.search_due.set()
 
@@ -779,7 +794,9 @@
         await _sleep(state, RETRY_INTERVAL_S)
 
 
-async def _become_coordinator(state: State, row: cell.CellRow, version: int, bound: float) -> None:
+async def _become_coordinator(
+    state: State, row: cell.CellRow, version: int, unknown_until_s: float
+) -> None:
     member = state.ports.describe_member()
     instance = _make_instance(state)
     _follow(state, term=row.term, coordinator=instance.node, address=instance.address, sequence=0)
@@ -789,7 +806,7 @@
         instance=instance,
         zone=member.zone,
         version=version,
-        unknown_until_s=bound,
+        unknown_until_s=unknown_until_s,
         now=_now(state),
     )
     decision.record(log, logging.WARNING, "claimed", node=instance.node, term=row.term)
@@ -882,7 +899,7 @@
     _expire_leases(state, leadership)
     leadership.rules, answer = cell.handle_heartbeat(leadership.rules, heartbeat, _now(state))
     leadership.config_versions[heartbeat.member.node] = heartbeat.config_version
-    if leadership.is_closing:
+    if leadership.is_handing_over:
         return _refuse(state, "handing over")
     if answer is cell.HeartbeatAnswer.RENEW:
         return _renew(state, leadership, heartbeat)
@@ -1027,15 +1044,15 @@
     has_consent = lease.may_renew(
         leadership.rules.consents, [standby.node for standby in wanted], _now(state)
     )
-    if is_same or not has_consent or not leadership.is_loaded or leadership.is_closing:
+    if is_same or not has_consent or not leadership.is_loaded or leadership.is_handing_over:
         return
     if leadership.store_lock.locked():
         return
     async with leadership.store_lock:
         leadership.rules, row = cell.propose_standbys(leadership.rules, wanted)
         version = leadership.rules.row_versions[cell.name_cell_row(state.cell_id)]
-        is_ours, version = await _write_cell(state, row, version)
-        if not is_ours:
+        is_written, version = await _write_cell(state, row, version)
+        if not is_written:
             _step_down(state, leadership, "cell row changed")
             return
         leadership.rules = cell.record_cell_row(leadership.rules, row, version)
@@ -1197,7 +1214,7 @@
         leadership.commit_due = trio.Event()
         async with leadership.store_lock:
             transaction = cell.build_transaction(leadership.rules, _now(state))
-            if transaction is not None and not leadership.is_closing:
+            if transaction is not None and not leadership.is_handing_over:
                 await _commit(state, leadership, transaction)
 
 
@@ -1207,13 +1224,13 @@
         outcome = platform.CommitState.UNKNOWN
         with trio.move_on_after(STORE_TIMEOUT_S):
             outcome = await state.ports.table.commit(transaction.expected, transaction.writes)
-        is_ours = outcome is platform.CommitState.COMMITTED
-        if is_ours:
+        is_applied = outcome is platform.CommitState.COMMITTED
+        if is_applied:
             leadership.rules = cell.record_commit(leadership.rules, transaction)
         else:
-            is_ours = await _read_back(state, leadership, transaction)
+            is_applied = await _read_back(state, leadership, transaction)
         nursery.cancel_scope.cancel()
-    if is_ours:
+    if is_applied:
         leadership.rules = cell.apply_changes(leadership.rules, transaction.changes)
         _log_changes(state, leadership, transaction.changes)
         _send_routes(state, leadership, transaction.changes)
@@ -1260,9 +1277,9 @@
     leadership.rules = cell.record_cell_row(
         leadership.rules, leadership.rules.row, cell_row.version
     )
-    is_ours = all(rows[name].value == value for name, value in transaction.writes.items())
+    is_applied = all(rows[name].value == value for name, value in transaction.writes.items())
     found_rows = {name: (found.value, found.version) for name, found in rows.items()}
-    if is_ours:
+    if is_applied:
         versions = {name: found.version for name, found in rows.items()}
         leadership.rules = dataclasses.replace(
             leadership.rules, row_versions={**leadership.rules.row_versions, **versions}
@@ -1277,7 +1294,7 @@
             rows=",".join(rows),
             outcome="read-back",
         )
-    return is_ours
+    return is_applied
 
 
 def _log_changes(state: State, leadership: Leadership, changes: list[cell.Change]) -> None:
@@ -1351,7 +1368,7 @@
     ]
     if not ready:
         return
-    leadership.is_closing = True
+    leadership.is_handing_over = True
     async with leadership.store_lock:
         row = cell.hand_over(leadership.rules.row, ready[0])
         version = leadership.rules.row_versions[cell.name_cell_row(state.cell_id)]
--- a/tests/process/test_lease.py
+++ b/tests/process/test_lease.py
@@ -111,7 +111,7 @@
     assert not state.holdings
 
 
-def test_dropped_release_leaves_lapsed_holding_suspended() -> None:
+def test_cancelled_release_leaves_lapsed_holding_suspended() -> None:
     """Guards against serving a lapsed holding again when a new coordinator cancels its release.
 
     Found by seed 582 of the random faults: a node that had been paused was releasing shards that
@@ -130,7 +130,7 @@
     assert lease.find_fence(state, SHARD, KEY, 5.1) is None
 
 
-def test_release_in_progress_goes_on_in_service_under_a_new_coordinator() -> None:
+def test_shard_is_served_after_a_new_coordinator_cancels_its_release() -> None:
     """Guards against a shard that no node serves because a former coordinator revoked it."""
     state, _ = grant(renew(make_node(), 0.0, 0.0), 1, 1, 0.0)
     state, _ = lease.begin_release(state, make_revoke(state, 2), 0.1)
@@ -140,7 +140,7 @@
     assert lease.find_fence(state, SHARD, KEY, 0.1) == 1
 
 
-def test_order_for_previous_process_is_refused() -> None:
+def test_message_for_previous_process_is_refused() -> None:
     """Guards against a restarted node that accepts messages for its previous process.
 
     The token memory is lost, so one-time tokens could be used twice after such a grant. An answer
