--- a/src/ebonyvalve/process/ownership.py
+++ b/src/ebonyvalve/process/ownership.py
@@ -544,7 +544,7 @@
 
 async def _handle_revoke(state: State, request: message.Revoke) -> message.Message:
     if not all(lease.accepts(state.node, request, shard) for shard in request.shards):
-        return _refuse(state, "stale revoke: other term, other incarnation or overtaken")
+        return _refuse(state, "overtaken order")
     node, held = lease.begin_release(state.node, request, _now(state))
     _put_node(state, node)
     for shard in held:
@@ -587,9 +587,7 @@
     node, is_accepted = lease.grant(before, request, _now(state))
     _put_node(state, node)
     if not is_accepted:
-        return _refuse(
-            state, "stale grant: other term, other incarnation, lower fencing token or overtaken"
-        )
+        return _refuse(state, "overtaken order")
     memories = {memory.shard: memory for memory in request.memories}
     for holding in request.holdings:
         if holding.shard in state.releasing:
