--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -53,12 +53,12 @@
 log = logging.getLogger(__name__)
 
 DEFAULT_DEADLINE_S = 1.0
-DEFAULT_BODY_BYTES = 1024 * 1024
+DEFAULT_MAX_BODY_BYTES = 1024 * 1024
 SWEEP_PERIOD_S = 0.1
 IDLE_SWEEP_PERIOD_S = 1.0
 # A planned stop waits this long for requests in flight; longer ones have passed their deadline.
-GRACE_S = 60.0
-STORE_CHECK_S = 0.5
+STOP_GRACE_S = 60.0
+STORE_CHECK_TIMEOUT_S = 0.5
 STORE_TIMEOUT_S = 2.0
 
 
@@ -110,9 +110,9 @@
     :param edges: its outside world.
     """
     clock = timer.Timer(clock=edges.clock)
-    book = metrics.build_metrics()
+    node_metrics = metrics.build_metrics()
     edges = dataclasses.replace(
-        edges, platform=metrics.observe_platform(book, edges.platform, edges.clock)
+        edges, platform=metrics.observe_platform(node_metrics, edges.platform, edges.clock)
     )
     incarnation = identity.Incarnation(f"{edges.random.getrandbits(64):016x}")
     unowned = lease.Node(node=cfg.node, incarnation=incarnation)
@@ -142,7 +142,7 @@
             connect=edges.connect_hop, now=edges.clock, max_connections=cfg.connections
         ),
         log_answered_share=cfg.log_answered_share,
-        observe=functools.partial(_count_request, book),
+        observe=functools.partial(_count_request, node_metrics),
     )
     node = Node(
         cfg=cfg,
@@ -158,29 +158,31 @@
         handler=shared,
         caller_front=_build_front(cfg, shared, edges.clock, is_hop=False),
         hop_front=_build_front(cfg, shared, edges.clock, is_hop=True),
-        metrics=book,
+        metrics=node_metrics,
     )
     node.owned = ownership.open_state(cfg.cell, _build_ports(node))
     return node
 
 
 def _count_request(
-    book: metrics.Metrics, call: exchange.Call, ended: outcome.Outcome, seconds: float
+    node_metrics: metrics.Metrics, call: exchange.Call, ended: outcome.Outcome, seconds: float
 ) -> None:
     # A hop is counted where the caller came in.
     if not call.is_hop:
         metrics.count_request(
-            book, call.service, verdict=ended.verdict, reason=ended.reason, seconds=seconds
+            node_metrics, call.service, verdict=ended.verdict, reason=ended.reason, seconds=seconds
         )
 
 
-def _count_heartbeat(book: metrics.Metrics, reply: peer.AskResult) -> None:
+def _count_heartbeat(node_metrics: metrics.Metrics, reply: peer.AskResult) -> None:
     if isinstance(reply, result.Failure):
-        metrics.count_peer_failure(book, reply.failure())
-        metrics.count_renewal(book, metrics.Renewal.UNANSWERED)
+        metrics.count_peer_failure(node_metrics, reply.failure())
+        metrics.count_renewal(node_metrics, metrics.Renewal.UNANSWERED)
         return
     is_renewed = isinstance(reply.unwrap(), message.Renewal)
-    metrics.count_renewal(book, metrics.Renewal.RENEWED if is_renewed else metrics.Renewal.REFUSED)
+    metrics.count_renewal(
+        node_metrics, metrics.Renewal.RENEWED if is_renewed else metrics.Renewal.REFUSED
+    )
 
 
 def _build_front(
@@ -190,7 +192,7 @@
         current = shared.snapshot()
         found = None if current is None else current.services.get(name)
         if found is None:
-            return DEFAULT_DEADLINE_S, DEFAULT_BODY_BYTES
+            return DEFAULT_DEADLINE_S, DEFAULT_MAX_BODY_BYTES
         return found.deadline_ms / 1000, found.max_body_bytes
 
     async def handle(call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
@@ -311,7 +313,7 @@
 
 def _build_sources(node: Node, owned: ownership.State) -> operator.Sources:
     async def read_status() -> report.Status:
-        with trio.move_on_after(STORE_CHECK_S):
+        with trio.move_on_after(STORE_CHECK_TIMEOUT_S):
             found = await node.edges.platform.table.read(ownership.HEAD_ROW)
             answers = isinstance(found, result.Success)
             return diagnostics.build_status(
@@ -352,8 +354,8 @@
     announced = functools.partial(http.serve, functools.partial(monitor.respond, node.monitor))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(timer.run, node.timer)
-        nursery.start_soon(_sweep, node)
-        nursery.start_soon(_tidy, node, owned)
+        nursery.start_soon(_sweep_pools, node)
+        nursery.start_soon(_refresh_periodically, node, owned)
         nursery.start_soon(monitor.run, node.monitor)
         nursery.start_soon(
             edges.serve_control, functools.partial(ownership.handle, owned), cfg.peer_address
@@ -380,12 +382,12 @@
         await ownership.leave(node.owned)
     front.stop(node.caller_front)
     front.stop(node.hop_front)
-    with trio.move_on_after(GRACE_S):
+    with trio.move_on_after(STOP_GRACE_S):
         while node.here.flights:
             await node.here.landed.wait()
 
 
-async def _tidy(node: Node, owned: ownership.State) -> None:
+async def _refresh_periodically(node: Node, owned: ownership.State) -> None:
     subscription = timer.subscribe(node.timer, period_s=telemetry.PERIOD_S)
     last_s = timer.now(node.timer)
     while True:
@@ -396,7 +398,7 @@
         last_s = now_s
 
 
-async def _sweep(node: Node) -> None:
+async def _sweep_pools(node: Node) -> None:
     pools = (node.handler.target_pool, node.handler.hop_pool)
     while True:
         # Every wake-up of an idle process costs CPU; without connections there is nothing to do.
@@ -418,7 +420,7 @@
     :param cfg: the daemon's settings.
     """
     host, port = network.split_address(cfg.platform_address)
-    connect, listen, client_tls, server_tls = _build_private(cfg)
+    connect, listen, client_tls, server_tls = _build_private_transport(cfg)
     async with (
         channel.open_channel(tls=client_tls) as control,
         remote.open_client(host=host, port=port, timeout_s=STORE_TIMEOUT_S) as store,
@@ -436,7 +438,7 @@
         )
 
 
-def _build_private(
+def _build_private_transport(
     cfg: settings.Settings,
 ) -> tuple[network.Connect, network.Listen, ssl.SSLContext | None, ssl.SSLContext | None]:
     """Return how the node reaches other nodes and operators, with mutual TLS where it is set."""
--- a/src/ebonyvalve/process/decision.py
+++ b/src/ebonyvalve/process/decision.py
@@ -6,7 +6,7 @@
 import time
 import zlib
 
-ANSWERED_SAMPLES = 10_000
+SAMPLING_STEPS = 10_000
 
 
 class LogForm(enum.Enum):
@@ -36,7 +36,7 @@
     :param request_id: the id that all hops of the request carry.
     :param share: share of answered requests to log, from 0 to 1.
     """
-    return zlib.crc32(request_id.encode()) % ANSWERED_SAMPLES < share * ANSWERED_SAMPLES
+    return zlib.crc32(request_id.encode()) % SAMPLING_STEPS < share * SAMPLING_STEPS
 
 
 def configure(form: LogForm, level: str) -> None:
@@ -70,7 +70,7 @@
 
     :param entry: the entry.
     """
-    return json.dumps(_list_fields(entry), default=_plain)
+    return json.dumps(_list_fields(entry), default=_to_plain_value)
 
 
 def _list_fields(entry: logging.LogRecord) -> dict[str, object]:
@@ -87,12 +87,12 @@
     return fields
 
 
-def _plain(value: object) -> object:
+def _to_plain_value(value: object) -> object:
     return value.value if isinstance(value, enum.Enum) else str(value)
 
 
 def _quote(value: object) -> str:
-    text = str(_plain(value) if isinstance(value, enum.Enum) else value)
+    text = str(_to_plain_value(value) if isinstance(value, enum.Enum) else value)
     if text and not any(mark in text for mark in ' "=\n'):
         return text
     return json.dumps(text)
--- a/src/ebonyvalve/process/demo.py
+++ b/src/ebonyvalve/process/demo.py
@@ -36,13 +36,13 @@
 KEYS = 40
 REQUEST_PAUSE_S = 0.02
 READY_S = 10.0
-TABLE_PERIOD_S = 2.0
+PRINT_PERIOD_S = 2.0
 # Below Linux's default for ip_local_port_range, above the ports of well-known services.
-LOWEST_PORT = 10_000
-HIGHEST_PORT = 32_000
+MIN_PORT = 10_000
+MAX_PORT = 32_000
 
 # Test libraries seed the module's generator, so that processes side by side draw the same ports.
-_draws = random.SystemRandom()
+_port_rng = random.SystemRandom()
 _picked_ports: set[int] = set()
 
 
@@ -55,7 +55,7 @@
     target_addresses: list[identity.Address]
     store: platform.Platform
     tokens: dict[str, str] = dataclasses.field(default_factory=dict)
-    wrong: list[str] = dataclasses.field(default_factory=list)
+    failures: list[str] = dataclasses.field(default_factory=list)
     answered: int = 0
 
 
@@ -69,7 +69,7 @@
     """
     picked: list[identity.Address] = []
     while len(picked) < count:
-        port = _draws.randrange(LOWEST_PORT, HIGHEST_PORT)
+        port = _port_rng.randrange(MIN_PORT, MAX_PORT)
         if port in _picked_ports:
             continue
         with socket.socket() as sock:
@@ -174,10 +174,10 @@
                 print(f"try: curl -i http://{first}/{SERVICE}/salle-1/slots", flush=True)
                 nursery.start_soon(_print_forever, mesh)
                 await _call_forever(mesh)
-    print(f"{mesh.answered} requests answered, {len(mesh.wrong)} wrong", flush=True)
-    for line in mesh.wrong[:10]:
+    print(f"{mesh.answered} requests answered, {len(mesh.failures)} wrong", flush=True)
+    for line in mesh.failures[:10]:
         print(line, file=sys.stderr)
-    return 0 if mesh.answered and not mesh.wrong else 1
+    return 0 if mesh.answered and not mesh.failures else 1
 
 
 async def publish_objects(
@@ -235,9 +235,9 @@
     while True:
         state = mesh.nodes[0].here.read_node()
         owned = collections.Counter(lease.find_owner(state, shard) for shard in state.routes)
-        cells = " ".join(f"{node}:{count}" for node, count in sorted(owned.items(), key=str))
-        print(f"term {state.term}, shards by owner: {cells}; {mesh.answered} answered", flush=True)
-        await trio.sleep(TABLE_PERIOD_S)
+        counts = " ".join(f"{node}:{count}" for node, count in sorted(owned.items(), key=str))
+        print(f"term {state.term}, shards by owner: {counts}; {mesh.answered} answered", flush=True)
+        await trio.sleep(PRINT_PERIOD_S)
 
 
 async def _call_forever(mesh: Mesh) -> None:
@@ -253,18 +253,20 @@
             answer = await call(address, "POST", path, b"me", token=mesh.tokens[key])
         else:
             answer = await call(address, "GET", f"/{SERVICE}/{key}/slots", b"")
-        _judge(mesh, key, expected[key], answer)
+        _check_answer(mesh, key, expected[key], answer)
         await trio.sleep(REQUEST_PAUSE_S)
 
 
-def _judge(mesh: Mesh, key: str, count: int, answer: tuple[int, dict[str, str], bytes]) -> None:
+def _check_answer(
+    mesh: Mesh, key: str, count: int, answer: tuple[int, dict[str, str], bytes]
+) -> None:
     status, headers, body = answer
     if "ebonyvalve-token" in headers:
         mesh.tokens[key] = headers["ebonyvalve-token"]
     if status == 200 and json.loads(body)["count"] == count:
         mesh.answered += 1
     else:
-        mesh.wrong.append(f"{key}: expected count {count}, got {status} {headers} {body!r}")
+        mesh.failures.append(f"{key}: expected count {count}, got {status} {headers} {body!r}")
 
 
 async def call(
--- a/src/ebonyvalve/process/http.py
+++ b/src/ebonyvalve/process/http.py
@@ -21,10 +21,10 @@
 # Also of informational answers before the real one.
 MAX_HEAD_BYTES = 65_536
 # A read may bring thousands of tiny pieces; other tasks run between so many of them.
-EVENTS_PER_TURN = 32
+EVENTS_PER_CHECKPOINT = 32
 IDLE_TIMEOUT_S = 60.0
 # Answers to these have no body, or end HTTP on the connection.
-UNSERVED = (b"HEAD", b"CONNECT")
+UNSUPPORTED_METHODS = (b"HEAD", b"CONNECT")
 
 
 class HttpFailure(enum.Enum):
@@ -66,11 +66,11 @@
     :param stream: the accepted connection.
     :param most_bytes: the largest body that is read.
     """
-    http = h11.Connection(h11.SERVER)
+    protocol = h11.Connection(h11.SERVER)
     try:
         while True:
             with trio.move_on_after(IDLE_TIMEOUT_S):
-                if await _serve_one(respond, stream, http, most_bytes):
+                if await _serve_request(respond, stream, protocol, most_bytes):
                     continue
             return
     except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -79,44 +79,44 @@
         await trio.aclose_forcefully(stream)
 
 
-async def _serve_one(
-    respond: Respond, stream: trio.abc.Stream, http: h11.Connection, most_bytes: int
+async def _serve_request(
+    respond: Respond, stream: trio.abc.Stream, protocol: h11.Connection, max_bytes: int
 ) -> bool:
     try:
-        head, body = await receive_message(stream, http, most_bytes=most_bytes)
+        head, body = await receive_message(stream, protocol, most_bytes=max_bytes)
     except h11.RemoteProtocolError as exc:
-        if http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await _send(stream, http, Reply(status=exc.error_status_hint, body=b"{}"))
+        if protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            await _send(stream, protocol, Reply(status=exc.error_status_hint, body=b"{}"))
         return False
     if not isinstance(head, h11.Request):
         return False
-    if head.method in UNSERVED:
-        await _send(stream, http, Reply(status=405), is_last=True)
+    if head.method in UNSUPPORTED_METHODS:
+        await _send(stream, protocol, Reply(status=405), is_last=True)
         return False
     request = Request(method=head.method.decode(), path=head.target.decode(), body=body)
     reply = await respond(request)
     if reply is None:
         return False
-    await _send(stream, http, reply)
-    if http.our_state is not h11.DONE or http.their_state is not h11.DONE:
+    await _send(stream, protocol, reply)
+    if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
         return False
-    http.start_next_cycle()
+    protocol.start_next_cycle()
     return True
 
 
 async def _send(
-    stream: trio.abc.Stream, http: h11.Connection, reply: Reply, *, is_last: bool = False
+    stream: trio.abc.Stream, protocol: h11.Connection, reply: Reply, *, is_last: bool = False
 ) -> None:
     headers = [("content-type", reply.content_type), ("content-length", str(len(reply.body)))]
     if is_last:
         headers.append(("connection", "close"))
     head = h11.Response(status_code=reply.status, headers=headers)
-    await send_message(stream, http, head, reply.body)
+    await send_message(stream, protocol, head, reply.body)
 
 
 async def send_message(
     stream: trio.abc.Stream,
-    http: h11.Connection,
+    protocol: h11.Connection,
     head: h11.Request | h11.Response,
     body: bytes,
 ) -> None:
@@ -128,7 +128,7 @@
     :param body: the whole body.
     """
     events = [head, h11.Data(data=body), h11.EndOfMessage()]
-    await stream.send_all(b"".join(http.send(event) or b"" for event in events))
+    await stream.send_all(b"".join(protocol.send(event) or b"" for event in events))
 
 
 async def fetch(
@@ -162,20 +162,20 @@
 
 
 async def _exchange(
-    stream: trio.abc.Stream, address: str, request: Request, most_bytes: int
+    stream: trio.abc.Stream, address: str, request: Request, max_bytes: int
 ) -> result.Result[Reply, HttpFailure]:
-    http = h11.Connection(h11.CLIENT)
+    protocol = h11.Connection(h11.CLIENT)
     headers = [("host", address), ("content-length", str(len(request.body))), *request.headers]
     head_sent = h11.Request(method=request.method, target=request.path, headers=headers)
-    await send_message(stream, http, head_sent, request.body)
-    head, body = await receive_message(stream, http, most_bytes=most_bytes)
+    await send_message(stream, protocol, head_sent, request.body)
+    head, body = await receive_message(stream, protocol, most_bytes=max_bytes)
     if not isinstance(head, h11.Response):
         return result.Failure(HttpFailure.BROKEN)
     return result.Success(Reply(status=head.status_code, body=body))
 
 
 async def receive_message(
-    stream: trio.abc.Stream, http: h11.Connection, *, most_bytes: int = MAX_BODY_BYTES
+    stream: trio.abc.Stream, protocol: h11.Connection, *, most_bytes: int = MAX_BODY_BYTES
 ) -> tuple[h11.Request | h11.Response | None, bytes]:
     """Read a whole message; the head is ``None`` if the connection ended before it.
 
@@ -190,17 +190,17 @@
     events = 0
     while True:
         events += 1
-        if events % EVENTS_PER_TURN == 0:
+        if events % EVENTS_PER_CHECKPOINT == 0:
             await trio.lowlevel.checkpoint()
-        event = http.next_event()
+        event = protocol.next_event()
         if event is h11.NEED_DATA:
             # What frames the body in chunks may be many times as long as the body.
-            most = MAX_HEAD_BYTES if head is None else MAX_HEAD_BYTES + 2 * most_bytes
-            if received > most:
+            max_received = MAX_HEAD_BYTES if head is None else MAX_HEAD_BYTES + 2 * most_bytes
+            if received > max_received:
                 raise h11.RemoteProtocolError("message too large", error_status_hint=413)
             data = bytes(await stream.receive_some(READ_BYTES))
             received += len(data)
-            http.receive_data(data)
+            protocol.receive_data(data)
         elif isinstance(event, h11.Request | h11.Response):
             head = event
         elif isinstance(event, h11.Data):
--- a/src/ebonyvalve/process/identity.py
+++ b/src/ebonyvalve/process/identity.py
@@ -23,7 +23,7 @@
 KeySlot = typing.NewType("KeySlot", int)
 LAST_SLOT = KeySlot(65_535)
 
-KEY_MARK = "key:"
+KEY_PREFIX = "key:"
 
 
 def name_partition(service: ServiceId, partition: Partition) -> ShardId:
@@ -41,7 +41,7 @@
     :param service: the service.
     :param key: the key.
     """
-    return ShardId(f"{service}/{KEY_MARK}{key}")
+    return ShardId(f"{service}/{KEY_PREFIX}{key}")
 
 
 def split_shard(shard: ShardId) -> tuple[ServiceId, Partition | None, KeyId | None]:
@@ -50,6 +50,6 @@
     :param shard: a name made by :func:`name_partition` or :func:`name_key`.
     """
     service, _, rest = shard.partition("/")
-    if rest.startswith(KEY_MARK):
-        return ServiceId(service), None, KeyId(rest[len(KEY_MARK) :])
+    if rest.startswith(KEY_PREFIX):
+        return ServiceId(service), None, KeyId(rest[len(KEY_PREFIX) :])
     return ServiceId(service), Partition(int(rest)), None
--- a/src/ebonyvalve/process/metrics.py
+++ b/src/ebonyvalve/process/metrics.py
@@ -11,7 +11,7 @@
 
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
 # Series of services beyond these, or not in the configuration, are counted together.
-SERVICES_MAX = 64
+MAX_SERVICES = 64
 OTHER_SERVICE = "other"
 # 0.019 is the objective for 99 in 100 requests.
 REQUEST_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.019, 0.03, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
@@ -163,7 +163,7 @@
     :param metrics: the metrics.
     :param services: the services of the configuration in force; the first 64 by name are taken.
     """
-    kept = set(sorted(services)[:SERVICES_MAX])
+    kept = set(sorted(services)[:MAX_SERVICES])
     for service in metrics.services - kept:
         for metric in _list_by_service(metrics):
             metric.remove_by_labels({"service": service})
@@ -187,7 +187,7 @@
     :param seconds: from its first byte to the end of its answer.
     """
     # Verdict and reason are taken as enums, so that no text of a caller becomes a label.
-    label = _name_service(metrics, service)
+    label = _label_service(metrics, service)
     metrics.requests.labels(label, verdict.value, reason.value).inc()
     metrics.request_seconds.labels(label).observe(seconds)
 
@@ -199,7 +199,7 @@
     :param service: its service.
     :param attempt: why.
     """
-    metrics.attempts.labels(_name_service(metrics, service), attempt.value).inc()
+    metrics.attempts.labels(_label_service(metrics, service), attempt.value).inc()
 
 
 def set_retry_budget(metrics: Metrics, requests: float) -> None:
@@ -234,7 +234,7 @@
     """
     mean = sum(loads) / len(loads) if loads else 0.0
     ratio = max(loads) / mean if mean > 0 else 1.0
-    metrics.load_imbalance.labels(_name_service(metrics, service)).set(ratio)
+    metrics.load_imbalance.labels(_label_service(metrics, service)).set(ratio)
 
 
 def count_move(
@@ -246,7 +246,7 @@
     :param service: its service.
     :param reason: why it moved.
     """
-    metrics.moves.labels(_name_service(metrics, service), reason.value).inc()
+    metrics.moves.labels(_label_service(metrics, service), reason.value).inc()
 
 
 def set_held_shards(metrics: Metrics, service: identity.ServiceId, shards: int) -> None:
@@ -256,7 +256,7 @@
     :param service: the service.
     :param shards: their number.
     """
-    metrics.held_shards.labels(_name_service(metrics, service)).set(shards)
+    metrics.held_shards.labels(_label_service(metrics, service)).set(shards)
 
 
 def count_unowned(
@@ -269,7 +269,7 @@
     :param shards: how many shards have no owner now.
     :param seconds: time since the previous call.
     """
-    label = _name_service(metrics, service)
+    label = _label_service(metrics, service)
     metrics.unowned_shards.labels(label).set(shards)
     metrics.unavailable_seconds.labels(label).inc(shards * seconds)
 
@@ -402,7 +402,7 @@
     return StoreOutcome.UNAVAILABLE
 
 
-def _name_service(metrics: Metrics, service: identity.ServiceId) -> str:
+def _label_service(metrics: Metrics, service: identity.ServiceId) -> str:
     return service if service in metrics.services else OTHER_SERVICE
 
 
--- a/src/ebonyvalve/process/monitor.py
+++ b/src/ebonyvalve/process/monitor.py
@@ -1,4 +1,4 @@
-"""Watches the target beside the node: its announcements and, when replies stop, probes."""
+"""Monitors the local target: takes its announcements, and probes it when replies stop."""
 
 import collections.abc
 import dataclasses
@@ -24,13 +24,16 @@
 
 CHECK_PERIOD_S = 0.05
 HEALTH_PATH = "/health"
-# Only the status counts.
-PROBE_BYTES = 65_536
+# The body of a probe's answer is read but not used; only the status counts.
+MAX_PROBE_BYTES = 65_536
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Monitor:
-    """What the monitor uses. ``drop_idle`` closes idle connections to a replaced target."""
+    """Dependencies of the monitor.
+
+    ``drop_idle`` closes the idle connections to the address of a replaced target.
+    """
 
     here: site.Site
     timer: timer.Timer
@@ -39,23 +42,27 @@
 
 
 async def run(monitor: Monitor) -> None:
-    """Probe the target whenever that is due, until cancelled.
+    """Probe the target whenever a probe is due, until cancelled.
 
-    :param monitor: what the monitor uses.
+    :param monitor: the monitor's dependencies.
     """
     here = monitor.here
     while True:
-        await _wait_check(monitor)
+        await _wait_for_next_check(monitor)
         now_s = here.now()
         if not target.is_probe_due(here.target, here.in_flight[here.node], now_s):
             continue
         is_answered = await _probe(monitor)
         if target.record_probe(here.target, is_answered, here.now()):
-            _note_change(here)
+            _apply_state_change(here)
 
 
-async def _wait_check(monitor: Monitor) -> None:
-    """Wait for the next check, which is seldom due while the target is idle and well."""
+async def _wait_for_next_check(monitor: Monitor) -> None:
+    """Wait for the next check, which is due every :data:`CHECK_PERIOD_S` seconds.
+
+    While the target is idle and up, it is due after :data:`target.IDLE_PROBE_S` seconds, or as soon
+    as a request starts.
+    """
     here = monitor.here
     is_idle = here.in_flight[here.node] == 0 and target.is_up(here.target)
     if not is_idle or here.target.failed_probes:
@@ -68,7 +75,7 @@
 async def respond(monitor: Monitor, request: http.Request) -> http.Reply:
     """Answer the announcement of a target.
 
-    :param monitor: what the monitor uses.
+    :param monitor: the monitor's dependencies.
     :param request: ``PUT /announce`` with a :class:`target.Announcement` in JSON.
     """
     if (request.method, request.path) != ("PUT", "/announce"):
@@ -81,9 +88,9 @@
 
 
 def read_announcement(body: bytes) -> result.Result[target.Announcement, str]:
-    """Return what a target says of itself, or what is wrong with it.
+    """Decode an announcement; return it, or a text that says why it is invalid.
 
-    :param body: the announcement.
+    :param body: the announcement in JSON.
     """
 
     def find_fault(entry: target.Announcement) -> str:
@@ -95,16 +102,16 @@
 
 
 async def take_announcement(monitor: Monitor, entry: target.Announcement) -> None:
-    """Take in what a target says of itself.
+    """Apply an announcement to the node's state.
 
-    :param monitor: what the monitor uses.
+    :param monitor: the monitor's dependencies.
     :param entry: the announcement.
     """
     here = monitor.here
     previous = here.target.address
     was_up = target.is_up(here.target)
     if target.announce(here.target, entry, here.now()):
-        # The predecessor died with what it ran, whether or not a connection showed it.
+        # The previous target ended with the requests that it ran, even if no connection broke.
         site.note_crash(here, here.now())
         if previous is not None:
             await monitor.drop_idle(previous)
@@ -113,23 +120,28 @@
     elif not was_up:
         limit.enter_slow_start(here.admission)
     limit.record_report(here.admission, is_cold=entry.is_cold)
-    _note_change(here)
+    _apply_state_change(here)
 
 
 async def _probe(monitor: Monitor) -> bool:
     address = monitor.here.target.address
     if address is None:
         return False
-    # The probe carries the end of the grant, so that a request longer than a lease can be applied.
+    # The probe carries the grant end, so that a request that takes longer than a lease can still be
+    # applied.
     until = ("ebonyvalve-grant-until-ms", str(site.tell_grant_end_ms(monitor.here)))
     request = http.Request(method="GET", path=HEALTH_PATH, headers=(until,))
     fetched = await http.fetch(
-        monitor.connect, address, request, timeout_s=target.PROBE_TIMEOUT_S, most_bytes=PROBE_BYTES
+        monitor.connect,
+        address,
+        request,
+        timeout_s=target.PROBE_TIMEOUT_S,
+        most_bytes=MAX_PROBE_BYTES,
     )
     return isinstance(fetched, result.Success) and fetched.unwrap().status == 200
 
 
-def _note_change(here: site.Site) -> None:
+def _apply_state_change(here: site.Site) -> None:
     now_s = here.now()
     if target.is_up(here.target):
         if here.admission.is_paused:
--- a/src/ebonyvalve/process/remote.py
+++ b/src/ebonyvalve/process/remote.py
@@ -21,8 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-BODY_BYTES = 64 * 1024 * 1024
-CONNECTIONS = 256
+MAX_BODY_BYTES = 64 * 1024 * 1024
+MAX_CONNECTIONS = 256
 # Shorter than the server's (http.IDLE_TIMEOUT_S), so that a request seldom meets a connection that
 # is being closed.
 CLIENT_IDLE_S = 20.0
@@ -106,7 +106,7 @@
 
 
 Answer = typing.TypeVar("Answer", bound=msgspec.Struct)
-Operate = collections.abc.Callable[[bytes], collections.abc.Awaitable[Reply]]
+Operation = collections.abc.Callable[[bytes], collections.abc.Awaitable[Reply]]
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
@@ -143,7 +143,7 @@
     :param port: port to listen on; 0 picks one.
     """
     operations = _list_operations(memory)
-    limiter = trio.CapacityLimiter(CONNECTIONS)
+    limiter = trio.CapacityLimiter(MAX_CONNECTIONS)
 
     async def accept(stream: trio.SocketStream) -> None:
         try:
@@ -152,7 +152,7 @@
             return
         try:
             respond = functools.partial(_respond, operations)
-            await http.serve(respond, stream, most_bytes=BODY_BYTES)
+            await http.serve(respond, stream, most_bytes=MAX_BODY_BYTES)
         finally:
             limiter.release()
 
@@ -216,7 +216,7 @@
         trio.run(main)
 
 
-def _list_operations(memory: platform.Memory) -> dict[str, Operate]:
+def _list_operations(memory: platform.Memory) -> dict[str, Operation]:
     services = platform.open_memory(memory)
 
     async def read(body: bytes) -> Reply:
@@ -285,7 +285,7 @@
     return platform.Row(value=row.value, version=row.version)
 
 
-async def _respond(operations: dict[str, Operate], request: http.Request) -> http.Reply | None:
+async def _respond(operations: dict[str, Operation], request: http.Request) -> http.Reply | None:
     operate = operations.get(request.path)
     if operate is None:
         return _encode(Reply(status=404))
@@ -381,7 +381,7 @@
         head = h11.Request(method="POST", target=path, headers=headers)
         await http.send_message(connection.stream, connection.protocol, head, data)
         response, body = await http.receive_message(
-            connection.stream, connection.protocol, most_bytes=BODY_BYTES
+            connection.stream, connection.protocol, most_bytes=MAX_BODY_BYTES
         )
         if not isinstance(response, h11.Response):
             raise trio.BrokenResourceError("connection closed before the reply")
@@ -404,8 +404,8 @@
         connection = client.idle.pop()
         # An idle connection becomes readable when the server closes it. A request sent on it would
         # fail, and a commit may not be sent again.
-        left, _ = connection.protocol.trailing_data
-        is_usable = not left and not connection.stream.socket.is_readable()
+        unread, _ = connection.protocol.trailing_data
+        is_usable = not unread and not connection.stream.socket.is_readable()
         if is_usable and time.monotonic() - connection.idle_since_s < CLIENT_IDLE_S:
             return connection
         connection.stream.socket.close()
--- a/src/ebonyvalve/process/report.py
+++ b/src/ebonyvalve/process/report.py
@@ -163,7 +163,9 @@
         )
     for target in status.targets:
         owned = sum(shard.owner == target.node for shard in status.shards)
-        lines.append(f"target {target.node} ({target.service}): {_describe(target)}, owns {owned}")
+        lines.append(
+            f"target {target.node} ({target.service}): {_describe_target(target)}, owns {owned}"
+        )
     ownerless = sorted(shard.shard for shard in status.shards if not shard.owner)
     if ownerless:
         lines.append(f"{len(ownerless)} shards without an owner: {', '.join(ownerless[:10])}")
@@ -175,27 +177,31 @@
     return lines
 
 
-def render_explanation(found: Explanation) -> list[str]:
+def render_explanation(explanation: Explanation) -> list[str]:
     """Return an explanation as lines of text.
 
     :param found: the explanation.
     """
-    lines = [f"key {found.key} of {found.service}, as node {found.node} sees it"]
-    if found.shard is not None:
-        owner = f"{found.owner} in {found.owner_zone}" if found.owner else "nobody"
-        fence = f", fencing token {found.fence}" if found.fence is not None else ""
-        lines.append(f"shard {found.shard} is owned by {owner}{fence}")
+    lines = [f"key {explanation.key} of {explanation.service}, as node {explanation.node} sees it"]
+    if explanation.shard is not None:
+        owner = (
+            f"{explanation.owner} in {explanation.owner_zone}" if explanation.owner else "nobody"
+        )
+        fence = f", fencing token {explanation.fence}" if explanation.fence is not None else ""
+        lines.append(f"shard {explanation.shard} is owned by {owner}{fence}")
         since = (
-            f"for {found.owned_for_s:.0f} s" if found.owned_for_s is not None else "time unknown"
+            f"for {explanation.owned_for_s:.0f} s"
+            if explanation.owned_for_s is not None
+            else "time unknown"
         )
-        lines.append(f"since: {since}; cause: {found.cause or 'not known here'}")
-    lines.append(f"rules: {', '.join(found.rules) or 'none'}")
-    where = f" to {found.route_node}" if found.route_node else ""
-    lines.append(f"a request now: {found.route.value}{where}")
-    return lines + [f"refused now: {reason}" for reason in found.refusals]
+        lines.append(f"since: {since}; cause: {explanation.cause or 'not known here'}")
+    lines.append(f"rules: {', '.join(explanation.rules) or 'none'}")
+    where = f" to {explanation.route_node}" if explanation.route_node else ""
+    lines.append(f"a request now: {explanation.route.value}{where}")
+    return lines + [f"refused now: {reason}" for reason in explanation.refusals]
 
 
-def _describe(target: Target) -> str:
+def _describe_target(target: Target) -> str:
     words = ["up" if target.is_up else "down"]
     words += ["cold"] if target.is_cold else []
     words += ["leaving"] if target.is_leaving else []
--- a/src/ebonyvalve/process/site.py
+++ b/src/ebonyvalve/process/site.py
@@ -1,4 +1,4 @@
-"""What a node knows and remembers for the requests that it serves."""
+"""State of one node that its requests share: ownership, admission, requests in flight."""
 
 import collections
 import collections.abc
@@ -22,7 +22,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Flight:
-    """A request that the local target runs."""
+    """A request in flight at the local target.
+
+    ``shard`` is the shard under which it runs; cancelling ``scope`` cancels it.
+    """
 
     shard: identity.ShardId
     fingerprint: identity.Fingerprint
@@ -31,11 +34,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Site:
-    """State of one node, shared by its requests.
+    """State of one node, shared by its requests. Times are in seconds on the clock of ``now``.
 
-    ``changed`` is set, and replaced, whenever ownership, members or the target's state change.
-    ``flights`` holds the requests at the local target, ``lost`` those whose connection to it broke
-    recently, with the time. ``admitted`` wakes the requests that wait for admission.
+    ``flights`` holds the requests that run at the local target, by shard. ``lost`` holds the
+    requests whose connection to it broke recently, each with the time. ``admitted`` holds an event
+    for each request that waits for admission. ``books`` holds the latencies per service, and
+    ``in_flight`` the number of requests in flight per node.
+
+    Each of the events ``changed``, ``landed`` and ``started`` is replaced by a new one when it is
+    set. ``changed`` is set when ownership, members or the target's state change, ``landed`` when
+    the last request of a shard ends at the local target.
     """
 
     node: identity.NodeId
@@ -64,29 +72,32 @@
     memories: dict[identity.ShardId, token_memory.Memory] = dataclasses.field(default_factory=dict)
     flights: dict[identity.ShardId, list[Flight]] = dataclasses.field(default_factory=dict)
     lost: list[tuple[float, identity.Fingerprint]] = dataclasses.field(default_factory=list)
-    # Until when the target has been told that it may serve, in seconds.
+    # The latest grant end sent to the target, in seconds.
     told_until_s: float = 0.0
-    # By shard, until when a request whose connection ended without an answer may still run.
+    # By shard, until when the target may still run a request whose connection ended unanswered.
     doubts: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
     admitted: dict[limit.Ticket, trio.Event] = dataclasses.field(default_factory=dict)
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
     landed: trio.Event = dataclasses.field(default_factory=trio.Event)
-    # Set, and replaced, when the first of several requests starts at the local target.
+    # Set when a request starts at the local target while none is in flight there.
     started: trio.Event = dataclasses.field(default_factory=trio.Event)
     is_stopping: bool = False
     # Since when a drain order takes this node out of service, in seconds.
     drained_since_s: float | None = None
 
 
-# A target that crashed announces its new incarnation within a few seconds of its restart.
-LOST_MEMORY_S = 5.0
-# A drained zone gets no new work after 3 s, even if its shards cannot move because the store is
-# down or slow; up to 0.5 s pass before a node has the configuration.
+# A crashed target announces its new incarnation within a few seconds of its restart; requests lost
+# earlier are not taken for the cause of the crash.
+LOST_REQUEST_RETENTION_S = 5.0
+# A drained zone must get no new work after 3 s, even if its shards cannot move because the store
+# is down or slow. Up to 0.5 s pass before a node has the configuration.
 DRAIN_LIMIT_S = 2.5
 
 
 def is_drained(site: Site) -> bool:
-    """Return whether the node has been drained for so long that it takes no new work.
+    """Return whether the node has been drained for more than :data:`DRAIN_LIMIT_S`.
+
+    From then on it takes no new work.
 
     :param site: the node's state.
     """
@@ -95,7 +106,7 @@
 
 
 def notify(site: Site) -> None:
-    """Wake the requests that wait for a change.
+    """Wake the tasks that wait for a change of ownership, members or the target's state.
 
     :param site: the node's state.
     """
@@ -106,28 +117,28 @@
 def find_memory(
     site: Site, shard: identity.ShardId, fence: identity.Fence, *, life_s: float
 ) -> token_memory.Memory:
-    """Return the token memory of a shard, made when first needed.
+    """Return the token memory of a shard; create it if it is missing, closed or of another fence.
 
     :param site: the node's state.
     :param shard: the shard.
-    :param fence: the fencing token under which the node holds it.
+    :param fence: the fencing token under which the node holds the shard.
     :param life_s: seconds for which a token is valid.
     """
-    found = site.memories.get(shard)
-    if found is None or found.is_closed or found.fence != fence:
-        if found is not None and not found.is_closed:
-            token_memory.drop(found)
-        found = token_memory.create(shard=shard, fence=fence, life_s=life_s, quota=site.quota)
-        site.memories[shard] = found
-    return found
+    memory = site.memories.get(shard)
+    if memory is None or memory.is_closed or memory.fence != fence:
+        if memory is not None and not memory.is_closed:
+            token_memory.drop(memory)
+        memory = token_memory.create(shard=shard, fence=fence, life_s=life_s, quota=site.quota)
+        site.memories[shard] = memory
+    return memory
 
 
 def begin_flight(site: Site, shard: identity.ShardId, fingerprint: identity.Fingerprint) -> Flight:
-    """Note that the local target starts a request.
+    """Record that a request starts at the local target, and return its entry.
 
     :param site: the node's state.
     :param shard: the shard under which it runs.
-    :param fingerprint: of the request.
+    :param fingerprint: the fingerprint of the request.
     """
     flight = Flight(shard=shard, fingerprint=fingerprint, scope=trio.CancelScope())
     site.flights.setdefault(shard, []).append(flight)
@@ -139,7 +150,7 @@
 
 
 def end_flight(site: Site, flight: Flight) -> None:
-    """Note that a request has ended at the local target.
+    """Record that a request has ended at the local target.
 
     :param site: the node's state.
     :param flight: from :func:`begin_flight`.
@@ -154,10 +165,10 @@
 
 
 async def wait_landed(site: Site, shards: collections.abc.Collection[identity.ShardId]) -> None:
-    """Return when no request of the shards runs at the local target.
+    """Wait until no request of the shards runs at the local target.
 
     :param site: the node's state.
-    :param shards: shards for which no new request starts.
+    :param shards: the shards; the caller starts no new requests for them.
     """
     while any(shard in site.flights for shard in shards):
         await site.landed.wait()
@@ -166,7 +177,7 @@
 def cancel_flights(
     site: Site, shards: collections.abc.Collection[identity.ShardId] | None = None
 ) -> int:
-    """Cancel requests at the local target and return how many.
+    """Cancel requests in flight at the local target; return their number.
 
     :param site: the node's state.
     :param shards: the shards concerned; ``None`` for all.
@@ -183,34 +194,36 @@
 
 
 def note_crash(site: Site, now_s: float) -> int:
-    """Quarantine what the local target ran when it died; return the number of requests.
+    """Quarantine the requests that the target ran when it crashed; return their number.
+
+    Requests whose connection broke in the last :data:`LOST_REQUEST_RETENTION_S` seconds count too.
 
     :param site: the node's state.
     :param now_s: the time in seconds.
     """
-    prints = [flight.fingerprint for flights in site.flights.values() for flight in flights]
-    prints += [name for at_s, name in site.lost if now_s - at_s <= LOST_MEMORY_S]
+    fingerprints = [flight.fingerprint for flights in site.flights.values() for flight in flights]
+    fingerprints += [name for at_s, name in site.lost if now_s - at_s <= LOST_REQUEST_RETENTION_S]
     site.lost.clear()
-    quarantine.record_crash(site.quarantined, prints, now_s)
-    return len(prints)
+    quarantine.record_crash(site.quarantined, fingerprints, now_s)
+    return len(fingerprints)
 
 
 def note_lost(site: Site, fingerprint: identity.Fingerprint, now_s: float) -> None:
-    """Note a request whose connection to the local target broke.
+    """Record a request whose connection to the local target broke.
 
     :param site: the node's state.
-    :param fingerprint: of the request.
+    :param fingerprint: the fingerprint of the request.
     :param now_s: the time in seconds.
     """
-    site.lost = [entry for entry in site.lost if now_s - entry[0] <= LOST_MEMORY_S]
+    site.lost = [entry for entry in site.lost if now_s - entry[0] <= LOST_REQUEST_RETENTION_S]
     site.lost.append((now_s, fingerprint))
 
 
 def wake_admitted(site: Site, woken: limit.Dequeued) -> None:
-    """Wake the requests that admission lets run, or refuses.
+    """Wake the requests that left the admission queue, to run or to be refused.
 
     :param site: the node's state.
-    :param woken: from :mod:`limit`.
+    :param woken: the tickets, from :mod:`limit`.
     """
     for ticket in (*woken.run, *woken.expired):
         event = site.admitted.pop(ticket, None)
@@ -219,32 +232,34 @@
 
 
 def tell_grant_end_ms(here: Site) -> int:
-    """Return until when the target may serve, in milliseconds on the clock of its VM, and note it.
+    """Return the grant end for the next request or probe, in milliseconds, and record it as sent.
+
+    The grant end is the time until which the target may serve, on the clock of the VM, which node
+    and target share. A target that checks grants neither starts nor applies a request after it. So
+    a node that is paused between its own check and the sending of a request does no harm.
 
-    Node and target share the clock. A target that checks grants neither starts nor applies a
-    request after this time, so that a node that was paused between its own check and the sending
-    of a request does no harm. The time is also bounded by the first request that the target has
-    not answered: a target that froze may run what it has received when it thaws, and its shards
-    can move only when it can no longer do so.
+    The grant ends with the node's lease, or one lease duration after the first request that the
+    target has not answered, whichever is earlier. A target that froze may run the requests that it
+    has received once it resumes, and its shards can move only when it can no longer do so.
 
-    :param here: the node's state; a request or probe is sent next.
+    :param here: the node's state; the caller sends a request or probe next.
     """
     now_s = here.now()
     if here.in_flight[here.node] <= 1:
-        # Requests that were given up are no sign of silence once nothing else is in flight.
-        here.target.asked_s = here.target.last_reply_s
-    asked_s = target.record_ask(here.target, now_s)
-    end_s = min(here.read_node().lease_end_s, asked_s + lease.LEASE_S)
+        # Abandoned requests don't show that the target is silent once nothing else is in flight.
+        here.target.unanswered_since_s = here.target.last_reply_s
+    unanswered_since_s = target.record_sent(here.target, now_s)
+    end_s = min(here.read_node().lease_end_s, unanswered_since_s + lease.LEASE_S)
     here.told_until_s = max(here.told_until_s, end_s)
-    # Before the first lease its end is minus infinity.
+    # The lease end is minus infinity before the first lease.
     return int(max(end_s, 0.0) * 1000)
 
 
 def note_doubt(here: Site, shard: identity.ShardId, until_s: float) -> None:
-    """Note that the target may run a request of a shard although its connection has ended.
+    """Record that the target may still run a request whose connection has ended.
 
     :param here: the node's state.
-    :param shard: the shard.
-    :param until_s: when it runs no more, by its deadline or by the end of the grant.
+    :param shard: the shard of the request.
+    :param until_s: the time in seconds after which it cannot run: its deadline or the grant end.
     """
     here.doubts[shard] = max(here.doubts.get(shard, until_s), until_s)
--- a/src/ebonyvalve/process/target.py
+++ b/src/ebonyvalve/process/target.py
@@ -1,4 +1,4 @@
-"""What a node knows of the target beside it: announced, up, cold, or down."""
+"""State of the local target, and the rules by which it is taken as up or down."""
 
 import dataclasses
 import enum
@@ -7,20 +7,21 @@
 
 from ebonyvalve.process import decoding, identity
 
-# A probe costs about 6 ms (docs/design.md, section 1), so one is made only when replies stop.
+# A probe costs about 6 ms (docs/design.md, section 1), so the target is probed only after it has
+# sent no reply for this long: STALL_S with requests in flight, IDLE_PROBE_S without.
 STALL_S = 0.25
 IDLE_PROBE_S = 1.0
 PROBE_TIMEOUT_S = 0.1
 PROBES_TO_DOWN = 2
 PROBES_TO_UP = 2
-# The health endpoint may mislead: a target that misses this many deadlines in a row is taken
-# as down although it answers probes.
+# The health endpoint may report a target as healthy that answers no requests. One that misses this
+# many deadlines in a row is taken as down although it answers probes.
 MISSES_TO_DOWN = 5
 RETRY_AFTER_MISSES_S = 2.0
 
 
 class TargetState(enum.Enum):
-    """Whether the target can be given work."""
+    """Whether the target can be given requests."""
 
     ABSENT = "absent"
     UP = "up"
@@ -28,7 +29,7 @@
 
 
 class Announcement(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
-    """What a target says of itself when it starts, and whenever it changes."""
+    """The JSON body that a target sends when it starts and whenever its state changes."""
 
     address: identity.Address
     incarnation: identity.Incarnation
@@ -38,15 +39,15 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """The state of the target beside the node. Times are in seconds on the timer's clock."""
+    """State of the local target. Times are in seconds on the timer's clock."""
 
     state: TargetState = TargetState.ABSENT
     address: identity.Address | None = None
     incarnation: identity.Incarnation = identity.Incarnation("")
     slots: int = 0
     last_reply_s: float = 0.0
-    # When the first request or probe since the last reply was sent.
-    asked_s: float = 0.0
+    # When the first request or probe after the last reply was sent.
+    unanswered_since_s: float = 0.0
     last_probe_s: float = 0.0
     down_since_s: float = 0.0
     failed_probes: int = 0
@@ -56,10 +57,10 @@
 
 
 def announce(target: Target, entry: Announcement, now_s: float) -> bool:
-    """Take in an announcement; return whether the target is a new or restarted one.
+    """Apply an announcement; return whether the target is a new or restarted one.
 
     :param target: the state.
-    :param entry: what the target said.
+    :param entry: the announcement.
     :param now_s: the time in seconds.
     """
     is_new = entry.incarnation != target.incarnation or entry.address != target.address
@@ -67,12 +68,12 @@
     target.incarnation = entry.incarnation
     target.slots = entry.slots or target.slots
     if is_new or target.state is not TargetState.UP:
-        _raise_target(target, now_s)
+        _mark_up(target, now_s)
     return is_new
 
 
 def record_reply(target: Target, now_s: float) -> None:
-    """Note that the target sent an answer.
+    """Record that the target sent an answer.
 
     :param target: the state.
     :param now_s: the time in seconds.
@@ -82,30 +83,30 @@
     target.missed_deadlines = 0
 
 
-def record_ask(target: Target, now_s: float) -> float:
-    """Note that a request or probe is sent; return when the first unanswered one was.
+def record_sent(target: Target, now_s: float) -> float:
+    """Record that a request or probe is sent; return when the first unanswered one was sent.
 
     :param target: the state.
     :param now_s: the time in seconds.
     """
-    if target.asked_s <= target.last_reply_s:
-        target.asked_s = now_s
-    return target.asked_s
+    if target.unanswered_since_s <= target.last_reply_s:
+        target.unanswered_since_s = now_s
+    return target.unanswered_since_s
 
 
 def record_refusal(target: Target, now_s: float) -> bool:
-    """Note a refused connection; return whether the target went down.
+    """Record a refused connection; return whether the target's state changed to down.
 
-    On the same VM nothing but the target's absence refuses a connection, so one is enough.
+    One refusal is enough: on the same VM a connection is refused only if no target listens.
 
     :param target: the state.
     :param now_s: the time in seconds.
     """
-    return _lower_target(target, now_s, "connection refused")
+    return _mark_down(target, now_s, "connection refused")
 
 
 def record_miss(target: Target, now_s: float) -> bool:
-    """Note a request that met its deadline without an answer; return whether the target went down.
+    """Record a request that missed its deadline; return whether the target's state changed to down.
 
     :param target: the state.
     :param now_s: the time in seconds.
@@ -113,14 +114,14 @@
     target.missed_deadlines += 1
     if target.missed_deadlines < MISSES_TO_DOWN:
         return False
-    return _lower_target(target, now_s, f"{target.missed_deadlines} deadlines missed in a row")
+    return _mark_down(target, now_s, f"{target.missed_deadlines} deadlines missed in a row")
 
 
 def is_probe_due(target: Target, in_flight: int, now_s: float) -> bool:
-    """Return whether the target should be probed now.
+    """Return whether the target must be probed now.
 
     :param target: the state.
-    :param in_flight: requests that the target is running.
+    :param in_flight: number of requests that the target is running.
     :param now_s: the time in seconds.
     """
     if target.state is TargetState.ABSENT:
@@ -135,7 +136,7 @@
 
 
 def record_probe(target: Target, is_answered: bool, now_s: float) -> bool:
-    """Note the result of a probe; return whether the target's state changed.
+    """Record the result of a probe; return whether the target's state changed.
 
     :param target: the state.
     :param is_answered: whether an answer came within :data:`PROBE_TIMEOUT_S`.
@@ -146,26 +147,26 @@
         target.good_probes = 0
         target.failed_probes += 1
         if target.failed_probes >= PROBES_TO_DOWN:
-            return _lower_target(target, now_s, f"{target.failed_probes} probes failed")
+            return _mark_down(target, now_s, f"{target.failed_probes} probes failed")
         return False
     target.last_reply_s = now_s
     target.failed_probes = 0
     target.good_probes += 1
     if target.state is TargetState.DOWN and target.good_probes >= PROBES_TO_UP:
-        _raise_target(target, now_s)
+        _mark_up(target, now_s)
         return True
     return False
 
 
 def is_up(target: Target) -> bool:
-    """Return whether the target can be given work.
+    """Return whether the target can be given requests.
 
     :param target: the state.
     """
     return target.state is TargetState.UP
 
 
-def _raise_target(target: Target, now_s: float) -> None:
+def _mark_up(target: Target, now_s: float) -> None:
     target.state = TargetState.UP
     target.last_reply_s = now_s
     target.failed_probes = 0
@@ -174,7 +175,7 @@
     target.reason = "answers"
 
 
-def _lower_target(target: Target, now_s: float, reason: str) -> bool:
+def _mark_down(target: Target, now_s: float, reason: str) -> bool:
     if target.state is not TargetState.UP:
         return False
     target.state = TargetState.DOWN
--- a/src/ebonyvalve/process/telemetry.py
+++ b/src/ebonyvalve/process/telemetry.py
@@ -8,7 +8,7 @@
 
 
 def refresh(
-    book: metrics.Metrics, here: site.Site, owned: ownership.State, *, elapsed_s: float
+    node_metrics: metrics.Metrics, here: site.Site, owned: ownership.State, *, elapsed_s: float
 ) -> None:
     """Set every metric that shows a state rather than counting events.
 
@@ -18,9 +18,9 @@
     :param elapsed_s: seconds since the previous call.
     """
     node = here.read_node()
-    metrics.set_retry_budget(book, here.retries.level)
+    metrics.set_retry_budget(node_metrics, here.retries.level)
     metrics.set_target(
-        book,
+        node_metrics,
         metrics.TargetState(
             limit=limit.read_limit(here.admission),
             in_flight=here.in_flight[here.node],
@@ -28,16 +28,16 @@
             is_slow_start=here.admission.phase is limit.Phase.WARMING,
         ),
     )
-    metrics.set_lease(book, max(0.0, node.lease_end_s - here.now()))
-    metrics.set_config_version(book, node.config_version)
-    metrics.set_role(book, find_role(owned, here.now()))
+    metrics.set_lease(node_metrics, max(0.0, node.lease_end_s - here.now()))
+    metrics.set_config_version(node_metrics, node.config_version)
+    metrics.set_role(node_metrics, find_role(owned, here.now()))
     held: collections.Counter[identity.ServiceId] = collections.Counter(
         identity.split_shard(shard)[0] for shard in node.holdings
     )
-    for service in book.services:
-        metrics.set_held_shards(book, service, held[service])
+    for service in node_metrics.services:
+        metrics.set_held_shards(node_metrics, service, held[service])
     if owned.leadership is not None:
-        _refresh_cell(book, owned.leadership, elapsed_s)
+        _refresh_cell(node_metrics, owned.leadership, elapsed_s)
 
 
 def find_role(owned: ownership.State, now_s: float) -> report.Role:
@@ -52,16 +52,18 @@
     return report.Role.STANDBY if is_standby else report.Role.MEMBER
 
 
-def _refresh_cell(book: metrics.Metrics, duty: ownership.Leadership, elapsed_s: float) -> None:
+def _refresh_cell(
+    node_metrics: metrics.Metrics, leadership: ownership.Leadership, elapsed_s: float
+) -> None:
     """Set what only the coordinator knows: loads and shards without an owner."""
     unowned: collections.Counter[identity.ServiceId] = collections.Counter(
         identity.split_shard(shard)[0]
-        for shard, entry in duty.rules.assignments.items()
+        for shard, entry in leadership.rules.assignments.items()
         if entry.owner == lease.NOBODY and not entry.is_merged
     )
     loads: dict[identity.ServiceId, list[float]] = collections.defaultdict(list)
-    for known in duty.rules.leases.values():
+    for known in leadership.rules.leases.values():
         loads[known.member.service].append(sum(entry.load for entry in known.loads))
-    for service in book.services:
-        metrics.count_unowned(book, service, shards=unowned[service], seconds=elapsed_s)
-        metrics.set_loads(book, service, loads[service])
+    for service in node_metrics.services:
+        metrics.count_unowned(node_metrics, service, shards=unowned[service], seconds=elapsed_s)
+        metrics.set_loads(node_metrics, service, loads[service])
--- a/src/ebonyvalve/process/toy.py
+++ b/src/ebonyvalve/process/toy.py
@@ -86,10 +86,10 @@
     :param toy: the target's state.
     :param stream: the accepted connection.
     """
-    http = h11.Connection(h11.SERVER)
+    protocol = h11.Connection(h11.SERVER)
     try:
-        while toy.state is not ToyState.DOWN and await _serve_one(toy, stream, http):
-            http.start_next_cycle()
+        while toy.state is not ToyState.DOWN and await _serve_request(toy, stream, protocol):
+            protocol.start_next_cycle()
     except (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError):
         pass
     finally:
@@ -122,7 +122,7 @@
     toy.cold_since_s = toy.clock()
 
 
-def find_bearable(toy: Toy) -> int:
+def read_capacity(toy: Toy) -> int:
     """Return how many requests the target bears at once.
 
     :param toy: the target's state.
@@ -133,16 +133,16 @@
     return int(1 + (toy.slots - 1) * age_s / toy.warm_up_s)
 
 
-async def _serve_one(toy: Toy, stream: trio.abc.Stream, http: h11.Connection) -> bool:
+async def _serve_request(toy: Toy, stream: trio.abc.Stream, protocol: h11.Connection) -> bool:
     request: h11.Request | None = None
     body = bytearray()
     while True:
-        event = http.next_event()
+        event = protocol.next_event()
         if event is h11.NEED_DATA:
-            if http.they_are_waiting_for_100_continue:
+            if protocol.they_are_waiting_for_100_continue:
                 proceed = h11.InformationalResponse(status_code=100, headers=[])
-                await stream.send_all(http.send(proceed) or b"")
-            http.receive_data(bytes(await stream.receive_some(65_536)))
+                await stream.send_all(protocol.send(proceed) or b"")
+            protocol.receive_data(bytes(await stream.receive_some(65_536)))
         elif isinstance(event, h11.Request):
             request = event
         elif isinstance(event, h11.Data):
@@ -151,7 +151,7 @@
             break
         else:
             return False
-    if request is None or not await _wait_up(toy):
+    if request is None or not await _wait_until_up(toy):
         return False
     answer = await _run_unless_cancelled(toy, request, bytes(body), stream)
     if isinstance(answer, result.Failure):
@@ -163,11 +163,11 @@
     parts: list[h11.Event] = [head, h11.EndOfMessage()]
     if request.method != b"HEAD":
         parts.insert(1, h11.Data(data=text))
-    await stream.send_all(b"".join(http.send(part) or b"" for part in parts))
-    return http.our_state is h11.DONE and http.their_state is h11.DONE
+    await stream.send_all(b"".join(protocol.send(part) or b"" for part in parts))
+    return protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
 
 
-async def _wait_up(toy: Toy) -> bool:
+async def _wait_until_up(toy: Toy) -> bool:
     if toy.state is ToyState.FROZEN:
         await toy.thawed.wait()
     return toy.state is ToyState.UP
@@ -210,7 +210,7 @@
         return result.Success(_refuse("target-shed"))
     toy.running += 1
     toy.max_running = max(toy.max_running, toy.running)
-    toy.overloads += toy.running > find_bearable(toy)
+    toy.overloads += toy.running > read_capacity(toy)
     try:
         run = _record(toy, request, path, headers)
         if toy.crash_on in path:
@@ -218,7 +218,7 @@
             return result.Failure(ToyState.DOWN)
         try:
             await trio.sleep(toy.service_time_s)
-            if not await _wait_up(toy):
+            if not await _wait_until_up(toy):
                 return result.Failure(toy.state)
         finally:
             run.end_s = toy.clock()
@@ -233,7 +233,7 @@
 def _record(toy: Toy, request: h11.Request, path: str, headers: dict[str, str]) -> Run:
     run = Run(
         node=toy.node,
-        key=_find_key(path),
+        key=_parse_key(path),
         method=request.method.decode(),
         fence=headers.get("ebonyvalve-fence", ""),
         request_id=headers.get("ebonyvalve-request-id", ""),
@@ -277,7 +277,7 @@
     return 200, [(b"content-type", b"application/json")], text.encode()
 
 
-def _find_key(path: str) -> str:
+def _parse_key(path: str) -> str:
     return path.split("?")[0].split("/", 3)[2]
 
 
--- a/src/ebonyvalve/standin/metadata.py
+++ b/src/ebonyvalve/standin/metadata.py
@@ -14,7 +14,7 @@
 
 RowKey = tuple[str, str, str]
 PAGE_ROWS = 500
-MOST_ENTRIES = 100
+MAX_ENTRIES = 100
 
 
 class Fault(enum.Enum):
@@ -96,7 +96,7 @@
     """
     state.version += 1
     _write(state, (table, "", key), value)
-    _announce(state)
+    _notify_changed(state)
 
 
 def compact(state: Metadata) -> None:
@@ -151,61 +151,61 @@
 
 
 async def _answer(
-    state: Metadata, method: str, path: str, asked: dict[str, str], body: bytes
+    state: Metadata, method: str, path: str, parameters: dict[str, str], body: bytes
 ) -> http.Reply:
     if (method, path) == ("POST", "/rows-tx"):
         return _transact(state, msgspec.json.decode(body, type=WireTransaction))
     if (method, path) == ("GET", "/rows-get"):
-        return _get(state, asked)
+        return _get(state, parameters)
     if (method, path) == ("GET", "/rows-feed"):
-        return await _feed(state, asked)
+        return await _feed(state, parameters)
     return http.Reply(status=404, body=b"{}")
 
 
-def _transact(state: Metadata, asked: WireTransaction) -> http.Reply:
-    everything = [*asked.precondition, *asked.puts, *asked.remove]
-    parts = {place.part for place in everything}
-    if len(everything) > MOST_ENTRIES or (len(parts) > 1 and not asked.across):
+def _transact(state: Metadata, transaction: WireTransaction) -> http.Reply:
+    places = [*transaction.precondition, *transaction.puts, *transaction.remove]
+    parts = {place.part for place in places}
+    if len(places) > MAX_ENTRIES or (len(parts) > 1 and not transaction.across):
         return http.Reply(status=400, body=b"{}")
-    if any(place.table in ("op", "servers") for place in [*asked.puts, *asked.remove]):
+    if any(place.table in ("op", "servers") for place in [*transaction.puts, *transaction.remove]):
         return http.Reply(status=403, body=b"{}")
-    for place in asked.precondition:
-        if _read_version(state, _name(place)) != place.ver:
-            rows = [_spell(state, _name(other)) for other in asked.precondition]
+    for place in transaction.precondition:
+        if _read_version(state, _build_row_key(place)) != place.ver:
+            rows = [_encode_row(state, _build_row_key(other)) for other in transaction.precondition]
             return _reply(state, 412, rows)
     state.version += 1
-    for place in asked.puts:
-        _write(state, _name(place), base64.b64decode(place.value))
-    for place in asked.remove:
-        _write(state, _name(place), None)
-    _announce(state)
+    for place in transaction.puts:
+        _write(state, _build_row_key(place), base64.b64decode(place.value))
+    for place in transaction.remove:
+        _write(state, _build_row_key(place), None)
+    _notify_changed(state)
     return _reply(state, 200, [])
 
 
-def _get(state: Metadata, asked: dict[str, str]) -> http.Reply:
-    table, part = asked["table"], asked.get("part", "")
-    limit = min(int(asked.get("limit", PAGE_ROWS)), PAGE_ROWS)
+def _get(state: Metadata, parameters: dict[str, str]) -> http.Reply:
+    table, part = parameters["table"], parameters.get("part", "")
+    limit = min(int(parameters.get("limit", PAGE_ROWS)), PAGE_ROWS)
     names = sorted(
         name
         for name, entry in state.rows.items()
         if name[:2] == (table, part)
         and entry.value is not None
-        and asked.get("from", "") <= name[2]
-        and ("to" not in asked or name[2] < asked["to"])
+        and parameters.get("from", "") <= name[2]
+        and ("to" not in parameters or name[2] < parameters["to"])
     )
-    rows = [_spell(state, name) for name in names[:limit]]
+    rows = [_encode_row(state, name) for name in names[:limit]]
     return _reply(state, 200, rows, has_more=len(names) > limit)
 
 
-async def _feed(state: Metadata, asked: dict[str, str]) -> http.Reply:
-    table, after = asked["table"], int(asked["after"])
-    with trio.move_on_after(int(asked.get("wait_ms", 0)) / 1000):
+async def _feed(state: Metadata, parameters: dict[str, str]) -> http.Reply:
+    table, after = parameters["table"], int(parameters["after"])
+    with trio.move_on_after(int(parameters.get("wait_ms", 0)) / 1000):
         while after >= state.oldest and not _list_changed(state, table, after):
             await state.changed.wait()
     if after < state.oldest:
         return _reply(state, 410, [])
     names = _list_changed(state, table, after)
-    return _reply(state, 200, [_spell(state, name) for name in names])
+    return _reply(state, 200, [_encode_row(state, name) for name in names])
 
 
 def _list_changed(state: Metadata, table: str, after: int) -> list[RowKey]:
@@ -213,7 +213,7 @@
     return sorted(newest, key=lambda name: (newest[name], name))
 
 
-def _name(place: WirePlace) -> RowKey:
+def _build_row_key(place: WirePlace) -> RowKey:
     return place.table, place.part, place.key
 
 
@@ -227,20 +227,20 @@
     state.log.append((state.version, name))
 
 
-def _announce(state: Metadata) -> None:
+def _notify_changed(state: Metadata) -> None:
     state.changed.set()
     state.changed = trio.Event()
 
 
-def _spell(state: Metadata, name: RowKey) -> dict[str, object]:
+def _encode_row(state: Metadata, name: RowKey) -> dict[str, object]:
     table, part, key = name
     entry = state.rows.get(name)
     if entry is None:
         return {"table": table, "part": part, "key": key, "ver": 0}
-    spelled: dict[str, object] = {"table": table, "part": part, "key": key, "ver": entry.version}
+    row: dict[str, object] = {"table": table, "part": part, "key": key, "ver": entry.version}
     if entry.value is None:
-        return {**spelled, "removed": True}
-    return {**spelled, "value": base64.b64encode(entry.value).decode()}
+        return {**row, "removed": True}
+    return {**row, "value": base64.b64encode(entry.value).decode()}
 
 
 def _reply(
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -95,7 +95,7 @@
     named = ("x-attempt-id", request_id)
     target.reached.append(request_id)
     target.budgets_ms.append(int(headers.get("x-deadline-ms", "0")))
-    if headers.get("x-expect-instance") != target.name or not _holds(target, headers):
+    if headers.get("x-expect-instance") != target.name or not _may_run(target, headers):
         return _reply(MISDIRECTED, [named, ("x-not-executed", "1")], b"")
     if target.running >= target.slots:
         return _reply(FULL, [named, ("x-not-executed", "1")], b"")
@@ -111,7 +111,7 @@
     return _reply(SERVED, sealed, content)
 
 
-def _holds(target: Target, headers: dict[str, str]) -> bool:
+def _may_run(target: Target, headers: dict[str, str]) -> bool:
     if not target.is_keyed:
         return True
     slot = int(headers.get("x-shard-key", "-1"))
@@ -139,7 +139,7 @@
         )
         is_pending = False
         if isinstance(reply, result.Success) and reply.unwrap().status == SERVED:
-            is_pending = _take(target, msgspec.json.decode(reply.unwrap().body), sent_at)
+            is_pending = _apply_reply(target, msgspec.json.decode(reply.unwrap().body), sent_at)
         await trio.sleep(0.1 if is_pending else target.heartbeat_s)
 
 
@@ -158,7 +158,7 @@
     )
 
 
-def _take(target: Target, answer: dict[str, object], sent_at: float) -> bool:
+def _apply_reply(target: Target, answer: dict[str, object], sent_at: float) -> bool:
     target.released = []
     rows = answer.get("holds")
     if not isinstance(rows, list):
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -132,7 +132,7 @@
     names = {
         found for name in read_samples(observed) for found in re.findall("service=(\\w+)", name)
     }
-    assert len(names) == metrics.SERVICES_MAX + 1
+    assert len(names) == metrics.MAX_SERVICES + 1
 
 
 def test_removed_service_loses_its_series() -> None:
--- a/tests/process/test_target.py
+++ b/tests/process/test_target.py
@@ -76,7 +76,7 @@
     """Guards against a frozen target that is told of a later end with each request it gets."""
     state = target.Target()
     announce(state, 1.0)
-    assert target.record_ask(state, 2.0) == 2.0
-    assert target.record_ask(state, 2.4) == 2.0
+    assert target.record_sent(state, 2.0) == 2.0
+    assert target.record_sent(state, 2.4) == 2.0
     target.record_reply(state, 2.5)
-    assert target.record_ask(state, 2.6) == 2.6
+    assert target.record_sent(state, 2.6) == 2.6
