--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -1,4 +1,4 @@
-"""Wires one node together, and the program ``ebonyvalved``."""
+"""Assembles a node from its parts, and runs it as the program ``ebonyvalved``."""
 
 import collections.abc
 import contextlib
@@ -56,7 +56,8 @@
 DEFAULT_MAX_BODY_BYTES = 1024 * 1024
 SWEEP_PERIOD_S = 0.1
 IDLE_SWEEP_PERIOD_S = 1.0
-# A planned stop waits this long for requests in flight; longer ones have passed their deadline.
+# A graceful stop waits this long for requests in flight. Requests that run longer have passed their
+# deadline.
 STOP_GRACE_S = 60.0
 STORE_CHECK_TIMEOUT_S = 0.5
 STORE_TIMEOUT_S = 2.0
@@ -64,10 +65,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Edges:
-    """The outside world of a node: real sockets and clock, or those of a test.
+    """What a node uses of its environment: real sockets, clock and platform, or those of a test.
 
-    ``connect_target`` opens connections to the target, ``connect_hop`` to other nodes.
-    ``serve_control`` answers control messages of other nodes until cancelled.
+    ``connect_target`` opens connections to the target, ``connect_hop`` to other nodes. ``listen``
+    accepts connections of callers and of the target, ``listen_private`` those of other nodes and of
+    operators. ``ask`` sends a control message to another node, and ``serve_control`` answers those
+    of other nodes until cancelled.
     """
 
     connect_target: network.Connect
@@ -85,7 +88,12 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Node:
-    """One node, assembled."""
+    """An assembled node.
+
+    ``snapshot``, ``shards`` and ``place`` are derived from the configuration in force; ``snapshot``
+    and ``place`` are ``None`` before the first one. ``placing`` keeps the state of placement when
+    the configuration changes.
+    """
 
     cfg: settings.Settings
     timer: timer.Timer
@@ -107,7 +115,7 @@
     """Build a node without starting it.
 
     :param cfg: its settings.
-    :param edges: its outside world.
+    :param edges: its sockets, clock and platform.
     """
     clock = timer.Timer(clock=edges.clock)
     node_metrics = metrics.build_metrics()
@@ -134,7 +142,7 @@
     target_pool = pool.Pool(
         connect=edges.connect_target, now=edges.clock, max_connections=cfg.connections
     )
-    shared = handler.Handler(
+    request_handler = handler.Handler(
         here=here,
         snapshot=lambda: node.snapshot,
         target_pool=target_pool,
@@ -155,9 +163,9 @@
             connect=edges.connect_target,
             drop_idle=functools.partial(pool.close_idle, target_pool),
         ),
-        handler=shared,
-        caller_front=_build_front(cfg, shared, edges.clock, is_hop=False),
-        hop_front=_build_front(cfg, shared, edges.clock, is_hop=True),
+        handler=request_handler,
+        caller_front=_build_front(cfg, request_handler, edges.clock, is_hop=False),
+        hop_front=_build_front(cfg, request_handler, edges.clock, is_hop=True),
         metrics=node_metrics,
     )
     node.owned = ownership.open_state(cfg.cell, _build_ports(node))
@@ -167,7 +175,7 @@
 def _count_request(
     node_metrics: metrics.Metrics, call: exchange.Call, ended: outcome.Outcome, seconds: float
 ) -> None:
-    # A hop is counted where the caller came in.
+    # A request that arrived as a hop is counted at its origin.
     if not call.is_hop:
         metrics.count_request(
             node_metrics, call.service, verdict=ended.verdict, reason=ended.reason, seconds=seconds
@@ -186,17 +194,17 @@
 
 
 def _build_front(
-    cfg: settings.Settings, shared: handler.Handler, clock: timer.Clock, *, is_hop: bool
+    cfg: settings.Settings, request_handler: handler.Handler, clock: timer.Clock, *, is_hop: bool
 ) -> front.Front:
     def find_limits(name: identity.ServiceId) -> tuple[float, int]:
-        current = shared.snapshot()
-        found = None if current is None else current.services.get(name)
-        if found is None:
+        snapshot = request_handler.snapshot()
+        service = None if snapshot is None else snapshot.services.get(name)
+        if service is None:
             return DEFAULT_DEADLINE_S, DEFAULT_MAX_BODY_BYTES
-        return found.deadline_ms / 1000, found.max_body_bytes
+        return service.deadline_ms / 1000, service.max_body_bytes
 
     async def handle(call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
-        return await handler.handle(shared, call, caller)
+        return await handler.handle(request_handler, call, caller)
 
     return front.Front(
         now=clock,
@@ -262,13 +270,13 @@
 
 
 def _find_service(node: Node, service: identity.ServiceId) -> objects.Service:
-    """Return a service of the configuration in force, or one with the default fields."""
+    """Return a service of the configuration in force; one with default fields if it has none."""
     found = None if node.snapshot is None else node.snapshot.services.get(service)
     return objects.Service(name=service) if found is None else found
 
 
 def adopt_config(node: Node, version: identity.ConfigVersion, body: bytes) -> None:
-    """Put a configuration in force at this node.
+    """Apply a configuration to the node.
 
     :param node: the node.
     :param version: its version.
@@ -291,7 +299,7 @@
 
 
 def describe_member(node: Node) -> message.Member:
-    """Return what the node tells the coordinator of itself.
+    """Return what a heartbeat says about this node.
 
     :param node: the node.
     """
@@ -314,14 +322,14 @@
 def _build_sources(node: Node, owned: ownership.State) -> operator.Sources:
     async def read_status() -> report.Status:
         with trio.move_on_after(STORE_CHECK_TIMEOUT_S):
-            found = await node.edges.platform.table.read(ownership.HEAD_ROW)
-            answers = isinstance(found, result.Success)
+            row = await node.edges.platform.table.read(ownership.HEAD_ROW)
+            does_answer = isinstance(row, result.Success)
             return diagnostics.build_status(
-                node.here, node.snapshot, owned, does_store_answer=answers
+                node.here, node.snapshot, owned, does_store_answer=does_answer
             )
         return diagnostics.build_status(node.here, node.snapshot, owned, does_store_answer=False)
 
-    def choose(
+    def choose_route(
         service: identity.ServiceId, key: identity.KeyId
     ) -> tuple[report.RouteKind, identity.NodeId | None, str]:
         found = _find_service(node, service)
@@ -336,7 +344,7 @@
         list_obstacles=lambda: diagnostics.list_obstacles(node.here, node.snapshot),
         read_status=read_status,
         explain=lambda service, key: diagnostics.explain(
-            node.here, node.snapshot, owned, service, key, choose
+            node.here, node.snapshot, owned, service, key, choose_route
         ),
         render_metrics=functools.partial(metrics.render, node.metrics),
     )
@@ -349,9 +357,13 @@
     """
     owned = node.owned
     if owned is None:
-        raise errors.InvariantError("a node runs without its ownership state")
+        raise errors.InvariantError(
+            "the ownership state is not set; build the node with assemble()"
+        )
     cfg, edges = node.cfg, node.edges
-    announced = functools.partial(http.serve, functools.partial(monitor.respond, node.monitor))
+    serve_announcements = functools.partial(
+        http.serve, functools.partial(monitor.respond, node.monitor)
+    )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(timer.run, node.timer)
         nursery.start_soon(_sweep_pools, node)
@@ -360,20 +372,24 @@
         nursery.start_soon(
             edges.serve_control, functools.partial(ownership.handle, owned), cfg.peer_address
         )
-        nursery.start_soon(edges.listen, cfg.announce_address, announced)
-        operated = functools.partial(operator.respond, _build_sources(node, owned))
+        nursery.start_soon(edges.listen, cfg.announce_address, serve_announcements)
+        respond_to_operators = functools.partial(operator.respond, _build_sources(node, owned))
         nursery.start_soon(
-            edges.listen_private, cfg.operator_address, functools.partial(http.serve, operated)
+            edges.listen_private,
+            cfg.operator_address,
+            functools.partial(http.serve, respond_to_operators),
         )
-        hop_serve = functools.partial(front.serve, node.hop_front)
-        nursery.start_soon(edges.listen_private, cfg.hop_address, hop_serve)
-        caller_serve = functools.partial(front.serve, node.caller_front)
-        nursery.start_soon(edges.listen, cfg.caller_address, caller_serve)
+        serve_hops = functools.partial(front.serve, node.hop_front)
+        nursery.start_soon(edges.listen_private, cfg.hop_address, serve_hops)
+        serve_callers = functools.partial(front.serve, node.caller_front)
+        nursery.start_soon(edges.listen, cfg.caller_address, serve_callers)
         nursery.start_soon(ownership.run, owned)
 
 
 async def stop(node: Node) -> None:
-    """Hand over the node's shards, and wait for its requests in flight.
+    """Hand over the node's shards, then wait for the requests at the local target.
+
+    The wait ends after :data:`STOP_GRACE_S` seconds.
 
     :param node: a running node.
     """
@@ -388,6 +404,7 @@
 
 
 async def _refresh_periodically(node: Node, owned: ownership.State) -> None:
+    """Update the metrics and drop expired entries of the token memories, once a second."""
     subscription = timer.subscribe(node.timer, period_s=telemetry.PERIOD_S)
     last_s = timer.now(node.timer)
     while True:
@@ -399,23 +416,26 @@
 
 
 async def _sweep_pools(node: Node) -> None:
+    """Sweep the connection pools and drop expired quarantine entries, periodically."""
     pools = (node.handler.target_pool, node.handler.hop_pool)
     while True:
-        # Every wake-up of an idle process costs CPU; without connections there is nothing to do.
+        # Every wake-up of an idle process costs CPU, so sweeps are rare without open connections.
         period_s = (
-            SWEEP_PERIOD_S if any(each.connections for each in pools) else IDLE_SWEEP_PERIOD_S
+            SWEEP_PERIOD_S
+            if any(connection_pool.connections for connection_pool in pools)
+            else IDLE_SWEEP_PERIOD_S
         )
         now_s = timer.now(node.timer)
         await timer.wait_until(node.timer, now_s + period_s)
         quarantine.forget(node.here.quarantined, timer.now(node.timer))
         p99_s = straggler.read_quantile(node.here.books[node.cfg.service], 0.99)
-        for each in pools:
-            await pool.sweep(each, p99_s=p99_s)
+        for connection_pool in pools:
+            await pool.sweep(connection_pool, p99_s=p99_s)
 
 
 @contextlib.asynccontextmanager
 async def open_edges(cfg: settings.Settings) -> collections.abc.AsyncIterator[Edges]:
-    """Yield real sockets, the platform's client and the machine's clock.
+    """Yield real sockets, a client of the platform and the boot clock.
 
     :param cfg: the daemon's settings.
     """
@@ -441,7 +461,11 @@
 def _build_private_transport(
     cfg: settings.Settings,
 ) -> tuple[network.Connect, network.Listen, ssl.SSLContext | None, ssl.SSLContext | None]:
-    """Return how the node reaches other nodes and operators, with mutual TLS where it is set."""
+    """Return functions that connect to other nodes and listen on private ports, and TLS contexts.
+
+    The contexts are the client's and the server's of the control channel. Without ``tls`` in the
+    settings they are ``None``, and the functions use plain TCP.
+    """
     if cfg.tls is None:
         return network.connect_tcp, network.listen_tcp, None, None
     files = channel.TlsFiles(
@@ -449,11 +473,11 @@
     )
     client_tls = channel.load_client_tls(files)
     server_tls = channel.load_server_tls(files)
-    files_of_hop = (cfg.tls.certificate, cfg.tls.key, cfg.tls.authority)
-    hop_client = network.build_context(*files_of_hop, is_server=False)
-    # VMs are replaced at any time, so that certificates need not name addresses.
+    hop_files = (cfg.tls.certificate, cfg.tls.key, cfg.tls.authority)
+    hop_client = network.build_context(*hop_files, is_server=False)
+    # VMs are replaced at any time, so certificates need not name the addresses of their nodes.
     hop_client.check_hostname = False
-    hop_server = network.build_context(*files_of_hop, is_server=True)
+    hop_server = network.build_context(*hop_files, is_server=True)
     return (
         network.build_tls_connect(hop_client),
         network.build_tls_listen(hop_server),
--- a/src/ebonyvalve/process/platform.py
+++ b/src/ebonyvalve/process/platform.py
@@ -1,4 +1,4 @@
-"""The platform's table service and object store, and a stand-in for both in memory."""
+"""Interfaces of the platform's table service and object store, and a stand-in in memory."""
 
 import collections.abc
 import dataclasses
@@ -9,16 +9,16 @@
 
 
 class CommitState(enum.Enum):
-    """What became of a conditional write."""
+    """The result of a conditional write."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
-    # The reply was lost or late. The write may have taken effect; read back to find out.
+    # No reply came in time. The write may have been applied; a read shows whether it was.
     UNKNOWN = "unknown"
 
 
 class StoreFailure(enum.Enum):
-    """Why a read, or a write of an object, gave no answer."""
+    """Why a read, or a write of an object, failed."""
 
     UNAVAILABLE = "unavailable"
     MISSING = "missing"
@@ -44,9 +44,9 @@
 class Table:
     """The table service.
 
-    ``read`` returns one row; ``scan`` returns the rows whose keys begin with a prefix;
-    ``commit`` applies all writes if every expected version matches, or none. Writing ``None``
-    deletes a row; a row that is written again goes on with a higher version.
+    ``read`` returns one row, and ``scan`` the rows whose keys begin with a prefix. ``commit``
+    applies all writes if every expected version matches, and none otherwise. Writing ``None``
+    deletes a row. Versions of a row always grow, also when a deleted row is written again.
     """
 
     read: collections.abc.Callable[[str], collections.abc.Awaitable[RowResult]]
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ObjectStore:
-    """The object store: immutable bodies under a name."""
+    """The object store, which keeps immutable bodies by name."""
 
     get: collections.abc.Callable[[str], collections.abc.Awaitable[BodyResult]]
     put: collections.abc.Callable[[str, bytes], collections.abc.Awaitable[PutResult]]
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Platform:
-    """Both services of the platform."""
+    """The services of the platform."""
 
     table: Table
     objects: ObjectStore
@@ -72,22 +72,26 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Memory:
-    """State of the stand-in, with the faults that tests inject."""
+    """State of the stand-in, with the faults that tests inject.
+
+    ``delay_s`` is the delay of every operation in seconds. ``reads`` and ``commits`` count the
+    operations on the table.
+    """
 
     rows: dict[str, Row] = dataclasses.field(default_factory=dict)
     bodies: dict[str, bytes] = dataclasses.field(default_factory=dict)
     delay_s: float = 0.0
     is_down: bool = False
-    # Number of coming commits that take effect but whose reply is lost.
+    # Number of next commits that are applied but whose reply is lost.
     lost_replies: int = 0
     reads: int = 0
     commits: int = 0
 
 
 def open_memory(memory: Memory) -> Platform:
-    """Return the platform's services, kept in memory.
+    """Return platform services that keep their data in memory.
 
-    :param memory: the state, which the caller may share between several nodes.
+    :param memory: the state, which several nodes may share.
     """
 
     async def read(key: str) -> RowResult:
@@ -137,10 +141,10 @@
 
 
 def apply_commit(memory: Memory, expected: Expected, writes: Writes) -> CommitState:
-    """Apply a conditional write to the stand-in.
+    """Apply a conditional write to the stand-in; return whether it was committed or conflicts.
 
     :param memory: the stand-in's state.
-    :param expected: the version that each key must have; 0 for a missing row.
+    :param expected: the version that the row of each key must have; 0 for a missing row.
     :param writes: the new value of each key; ``None`` deletes it.
     """
     for key, version in expected.items():
@@ -151,7 +155,7 @@
         row = memory.rows.get(key, Row())
         memory.rows[key] = Row(value=value or b"", version=abs(row.version) + 1)
         if value is None:
-            # A negative version marks a deleted row, so that versions never repeat.
+            # A deleted row keeps its version, negated, so that versions never repeat.
             memory.rows[key] = Row(version=-(abs(row.version) + 1))
     return CommitState.COMMITTED
 
--- a/src/ebonyvalve/process/remote.py
+++ b/src/ebonyvalve/process/remote.py
@@ -1,6 +1,7 @@
-"""The platform stand-in served over HTTP/1.1, and a client that returns it as a platform.
+"""An HTTP/1.1 server of the platform stand-in, and its client.
 
-Every operation is a POST of a JSON object; bytes are in base64. ``/faults`` sets what goes wrong.
+Every operation is a POST with a JSON object; bytes are encoded in base64. ``/faults`` injects
+faults into the server.
 """
 
 import collections.abc
@@ -23,57 +24,57 @@
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
 MAX_CONNECTIONS = 256
-# Shorter than the server's (http.IDLE_TIMEOUT_S), so that a request seldom meets a connection that
-# is being closed.
+# Shorter than the server's http.IDLE_TIMEOUT_S, so that a request is seldom sent on a connection
+# that the server is closing.
 CLIENT_IDLE_S = 20.0
 
 
 class ReadRequest(msgspec.Struct, kw_only=True):
-    """Read one row."""
+    """Asks for one row."""
 
     key: str
 
 
 class RowReply(msgspec.Struct, kw_only=True):
-    """One row."""
+    """A row of the table."""
 
     value: bytes
     version: int
 
 
 class ScanRequest(msgspec.Struct, kw_only=True):
-    """Read the rows under a prefix."""
+    """Asks for the rows whose keys begin with a prefix."""
 
     prefix: str
 
 
 class ScanReply(msgspec.Struct, kw_only=True):
-    """Rows by key."""
+    """The rows found, by key."""
 
     rows: dict[str, RowReply]
 
 
 class CommitRequest(msgspec.Struct, kw_only=True):
-    """A conditional write."""
+    """A conditional write; see :class:`platform.Table`."""
 
     expected: dict[str, int]
     writes: dict[str, bytes | None]
 
 
 class CommitReply(msgspec.Struct, kw_only=True):
-    """What became of a conditional write."""
+    """The result of a conditional write."""
 
     state: platform.CommitState
 
 
 class GetRequest(msgspec.Struct, kw_only=True):
-    """Read one object."""
+    """Asks for an object."""
 
     name: str
 
 
 class PutRequest(msgspec.Struct, kw_only=True):
-    """Write one object."""
+    """Writes an object."""
 
     name: str
     body: bytes
@@ -90,7 +91,11 @@
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What goes wrong: a delay of every operation, an outage, and replies to commits lost."""
+    """Faults to inject, which replace those in force.
+
+    ``delay_s`` delays every operation, ``is_down`` makes every operation fail, and ``lost_replies``
+    is the number of next commits whose reply is lost.
+    """
 
     delay_s: float = 0.0
     is_down: bool = False
@@ -99,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """A status code with a body. ``None`` as a status means that the reply is lost."""
+    """A status code and a body. ``None`` as status closes the connection without a reply."""
 
     status: int | None
     body: msgspec.Struct = dataclasses.field(default_factory=Empty)
@@ -111,7 +116,7 @@
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Connection:
-    """One connection of the client."""
+    """A connection of the client, and since when it is idle on the monotonic clock."""
 
     stream: trio.SocketStream
     protocol: h11.Connection
@@ -120,7 +125,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Client:
-    """State of the client."""
+    """State of a client. ``limiter`` bounds its concurrent operations."""
 
     host: str
     port: int
@@ -136,7 +141,7 @@
     port: int,
     task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve a stand-in until cancelled; the bound port is reported by ``task_status``.
+    """Serve the stand-in until cancelled; report the bound port through ``task_status``.
 
     :param memory: the state, which a test may also change directly.
     :param host: IP address to listen on.
@@ -165,12 +170,12 @@
 async def open_client(
     *, host: str, port: int, timeout_s: float = 2.0, connections: int = 16
 ) -> collections.abc.AsyncIterator[platform.Platform]:
-    """Yield the platform that a server offers.
+    """Yield the platform services of a server.
 
     :param host: IP address of the server.
     :param port: its port.
-    :param timeout_s: seconds after which an operation counts as unanswered.
-    :param connections: the largest number of operations at a time.
+    :param timeout_s: seconds after which an operation is given up.
+    :param connections: the maximum number of concurrent operations.
     """
     client = Client(
         host=host, port=port, timeout_s=timeout_s, limiter=trio.CapacityLimiter(connections)
@@ -184,11 +189,11 @@
 
 
 async def set_faults(*, host: str, port: int, faults: Faults) -> bool:
-    """Set the faults of a server and return whether it has accepted them.
+    """Replace the faults of a server; return whether it accepted them.
 
     :param host: IP address of the server.
     :param port: its port.
-    :param faults: what goes wrong from now on.
+    :param faults: the faults to inject.
     """
     client = Client(host=host, port=port, timeout_s=5.0, limiter=trio.CapacityLimiter(1))
     answer = await _call(client, "/faults", faults)
@@ -260,7 +265,7 @@
         memory.delay_s = faults.delay_s
         memory.is_down = faults.is_down
         memory.lost_replies = faults.lost_replies
-        log.info("faults: %s", faults)
+        log.info("faults set to %s", faults)
         return Reply(status=200)
 
     return {
@@ -314,8 +319,8 @@
         return answer.map(lambda reply: {key: _unpack_row(row) for key, row in reply.rows.items()})
 
     async def commit(expected: platform.Expected, writes: platform.Writes) -> platform.CommitState:
-        # Anything but a decoded reply leaves open whether the write was applied; it is never sent
-        # a second time from here.
+        # Without a decoded reply it is unknown whether the write was applied. It is never resent
+        # here, since the caller has to read first.
         request = CommitRequest(expected=expected, writes=writes)
         answer = await _ask(client, "/table/commit", request, CommitReply)
         return answer.map(lambda reply: reply.state).value_or(platform.CommitState.UNKNOWN)
@@ -353,7 +358,7 @@
 
 
 async def _call(client: Client, path: str, request: msgspec.Struct) -> tuple[int, bytes] | None:
-    """Return status and body of the reply, or ``None`` if no whole reply came in time."""
+    """Return status and body of the reply, or ``None`` if no complete reply came in time."""
     with trio.move_on_after(client.timeout_s):
         try:
             async with client.limiter:
@@ -389,8 +394,8 @@
         is_reusable = is_reusable and connection.protocol.their_state is h11.DONE
         return response.status_code, body
     finally:
-        # A connection that was left in the middle of an exchange would give its late reply to the
-        # next request.
+        # A connection is not reused after an incomplete exchange, since its late reply would be
+        # taken for the reply to the next request.
         if is_reusable:
             connection.protocol.start_next_cycle()
             connection.idle_since_s = time.monotonic()
@@ -402,8 +407,8 @@
 def _pop_idle(client: Client) -> Connection | None:
     while client.idle:
         connection = client.idle.pop()
-        # An idle connection becomes readable when the server closes it. A request sent on it would
-        # fail, and a commit may not be sent again.
+        # An idle connection becomes readable when the server closes it. A request on it would fail,
+        # and a commit must not be resent.
         unread, _ = connection.protocol.trailing_data
         is_usable = not unread and not connection.stream.socket.is_readable()
         if is_usable and time.monotonic() - connection.idle_since_s < CLIENT_IDLE_S:
