--- a/src/ebonyvalve/errors.py
+++ b/src/ebonyvalve/errors.py
@@ -1,4 +1,7 @@
-"""Exceptions. Expected failures are values; see ``request.outcome`` and ``process.platform``."""
+"""Exceptions of the package.
+
+Expected failures are returned as values; see ``request.outcome`` and ``process.platform``.
+"""
 
 
 class EbonyvalveError(Exception):
@@ -6,7 +9,7 @@
 
 
 class InvariantError(EbonyvalveError):
-    """A state that the rules exclude was reached; the process must stop."""
+    """An invariant of the program was violated; the process must stop."""
 
 
 class SettingsError(EbonyvalveError):
--- a/src/ebonyvalve/process/decision.py
+++ b/src/ebonyvalve/process/decision.py
@@ -1,4 +1,4 @@
-"""One log line for each routing or placement decision."""
+"""Structured logging: one line for each routing or placement decision."""
 
 import enum
 import json
@@ -10,18 +10,18 @@
 
 
 class LogForm(enum.Enum):
-    """How a log line is written."""
+    """The format of log lines."""
 
     KEY_VALUE = "key=value"
     JSON = "json"
 
 
 def record(log: logging.Logger, level: int, event: str, **fields: object) -> None:
-    """Write one decision.
+    """Log one decision.
 
     :param log: the module's logger.
     :param level: a level of :mod:`logging`.
-    :param event: what was decided, in one stable word.
+    :param event: what was decided, as one word that stays the same over releases.
     :param fields: the inputs of the decision and its reason.
     """
     if log.isEnabledFor(level):
@@ -29,9 +29,9 @@
 
 
 def is_sampled(request_id: str, share: float) -> bool:
-    """Return whether the line of an answered request is written.
+    """Return whether the line of an answered request is logged.
 
-    The choice depends on the request id alone, so every hop makes the same one.
+    The result depends only on the request id, so it is the same at every hop.
 
     :param request_id: the id that all hops of the request carry.
     :param share: share of answered requests to log, from 0 to 1.
@@ -40,14 +40,14 @@
 
 
 def configure(form: LogForm, level: str) -> None:
-    """Set up the process's logging to standard error.
+    """Log to standard error from now on.
 
-    :param form: how lines are written.
-    :param level: the name of a level of :mod:`logging`.
+    :param form: the format of the lines.
+    :param level: the lowest level that is logged, by its name in :mod:`logging`.
     """
     handler = logging.StreamHandler()
     formatter = logging.Formatter()
-    # logging calls the instance's format, so a closure is enough and no subclass is needed.
+    # The handler calls the instance's format(), so a function can replace it without a subclass.
     write = format_json if form is LogForm.JSON else format_text
     setattr(formatter, "format", write)  # noqa: B010
     handler.setFormatter(formatter)
@@ -93,6 +93,6 @@
 
 def _quote(value: object) -> str:
     text = str(_to_plain_value(value) if isinstance(value, enum.Enum) else value)
-    if text and not any(mark in text for mark in ' "=\n'):
+    if text and not any(special in text for special in ' "=\n'):
         return text
     return json.dumps(text)
--- a/src/ebonyvalve/process/demo.py
+++ b/src/ebonyvalve/process/demo.py
@@ -1,4 +1,4 @@
-"""A small mesh in one process on loopback, with toy targets and a little traffic."""
+"""A demo: a small mesh in one process on loopback, with toy targets and light traffic."""
 
 import collections
 import dataclasses
@@ -41,14 +41,18 @@
 MIN_PORT = 10_000
 MAX_PORT = 32_000
 
-# Test libraries seed the module's generator, so that processes side by side draw the same ports.
+# Test libraries seed the random module's own generator, with which parallel processes would draw
+# the same ports.
 _port_rng = random.SystemRandom()
 _picked_ports: set[int] = set()
 
 
 @dataclasses.dataclass(kw_only=True)
 class Mesh:
-    """The demo's nodes and targets, and what its caller saw."""
+    """The nodes and targets of the demo, and the results of its requests.
+
+    ``tokens`` holds the last one-time token by key, ``failures`` describes each wrong answer.
+    """
 
     nodes: list[daemon.Node]
     targets: list[toy.Toy]
@@ -60,12 +64,12 @@
 
 
 def pick_addresses(count: int) -> list[identity.Address]:
-    """Return loopback addresses with ports that are free at present, each one only once.
+    """Return loopback addresses with ports that are free now, never the same one twice.
 
-    They lie below the range from which the kernel takes the ports of outgoing connections, which
-    would else be in use before a process that starts slowly listens on its own.
+    The ports lie below the range from which the kernel takes those of outgoing connections. A port
+    in that range might be taken before a process that starts slowly listens on it.
 
-    :param count: how many.
+    :param count: number of addresses.
     """
     picked: list[identity.Address] = []
     while len(picked) < count:
@@ -105,9 +109,9 @@
 def build_edges(
     control: channel.Channel, store: platform.Platform, rng: random.Random
 ) -> daemon.Edges:
-    """Return the outside world of nodes that share a process on loopback.
+    """Return real sockets and clock for nodes that share a process on loopback.
 
-    :param control: the channel that they share.
+    :param control: the control channel that they share.
     :param store: the platform.
     :param rng: their source of random numbers.
     """
@@ -125,9 +129,9 @@
 
 
 def build_mesh(control: channel.Channel) -> Mesh:
-    """Assemble the demo's mesh.
+    """Assemble the nodes and targets of the demo.
 
-    :param control: the channel that its nodes share, since they share the process.
+    :param control: the control channel that the nodes share.
     """
     store = platform.open_memory(platform.Memory())
     edges = build_edges(control, store, random.Random())
@@ -152,9 +156,9 @@
 
 
 async def run(seconds: float | None) -> int:
-    """Run the demo; return 0 when every request had the right answer.
+    """Run the demo; return 0 if requests were answered and every answer was right, else 1.
 
-    :param seconds: how long to run; ``None`` until interrupted.
+    :param seconds: how long to run; ``None`` to run until cancelled.
     """
     async with channel.open_channel() as control:
         mesh = build_mesh(control)
@@ -188,8 +192,9 @@
     :param store: the platform.
     :param entries: the objects.
     :param clock: the timer service.
+    :raises errors.InvariantError: if the configuration is refused.
     """
-    order = publish.PublishRequest(
+    request = publish.PublishRequest(
         body=objects.encode_body(objects.ObjectSet(objects=entries)),
         base=identity.ConfigVersion(0),
         author="demo",
@@ -197,7 +202,7 @@
         at="2026-01-01T00:00:00Z",
         publication="demo",
     )
-    published = await publish.publish(store, order, clock)
+    published = await publish.publish(store, request, clock)
     if published.state is not publish.State.ACCEPTED:
         raise errors.InvariantError(f"the demo's configuration was not accepted: {published.cause}")
 
@@ -272,7 +277,9 @@
 async def call(
     address: identity.Address, method: str, path: str, body: bytes, *, token: str | None = None
 ) -> tuple[int, dict[str, str], bytes]:
-    """Make one HTTP request on a connection of its own; status 0 means that no answer came.
+    """Make one HTTP request on a new connection; return status, headers and body of the answer.
+
+    Status 0 means that no complete answer came.
 
     :param address: where the node serves callers.
     :param method: the HTTP method.
@@ -292,7 +299,7 @@
 
 
 async def read_answer(conn: wire.Wire) -> tuple[int, dict[str, str], bytes]:
-    """Return status, headers and body; status 0 if the answer did not come to its end.
+    """Return status, headers and body of an answer; status 0 if it is incomplete.
 
     :param conn: the client's side of a connection on which a request was sent.
     """
--- a/src/ebonyvalve/process/http.py
+++ b/src/ebonyvalve/process/http.py
@@ -1,6 +1,7 @@
-"""Small HTTP/1.1 requests with whole bodies, for operators, targets and the platform stand-in.
+"""HTTP/1.1 server and client for small messages, whose bodies are held in memory.
 
-Requests of callers stream and use ``connection.wire`` instead.
+Operators, targets and the platform stand-in use them. Requests of callers are streamed and use
+``connection.wire`` instead.
 """
 
 import collections.abc
@@ -18,17 +19,17 @@
 
 READ_BYTES = 65_536
 MAX_BODY_BYTES = 16 * 1024 * 1024
-# Also of informational answers before the real one.
+# Also bounds the informational responses before the final one.
 MAX_HEAD_BYTES = 65_536
-# A read may bring thousands of tiny pieces; other tasks run between so many of them.
+# One read may bring thousands of tiny chunks. A checkpoint after this many lets other tasks run.
 EVENTS_PER_CHECKPOINT = 32
 IDLE_TIMEOUT_S = 60.0
-# Answers to these have no body, or end HTTP on the connection.
+# A response to HEAD has no body, and one to CONNECT ends HTTP on the connection.
 UNSUPPORTED_METHODS = (b"HEAD", b"CONNECT")
 
 
 class HttpFailure(enum.Enum):
-    """Why a request got no answer."""
+    """Why a request got no response."""
 
     UNREACHABLE = "unreachable"
     TIMEOUT = "timeout"
@@ -37,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """A request with its whole body."""
+    """A request with its complete body."""
 
     method: str
     path: str
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """An answer with its whole body."""
+    """A response with its complete body."""
 
     status: int
     body: bytes = b""
@@ -60,11 +61,11 @@
 async def serve(
     respond: Respond, stream: trio.abc.Stream, *, most_bytes: int = MAX_BODY_BYTES
 ) -> None:
-    """Serve one connection. ``None`` from ``respond`` closes it without an answer.
+    """Serve one connection until it ends or is idle for :data:`IDLE_TIMEOUT_S`.
 
-    :param respond: answers a request.
+    :param respond: returns the reply to a request; ``None`` closes the connection without one.
     :param stream: the accepted connection.
-    :param most_bytes: the largest body that is read.
+    :param most_bytes: maximum length of the body in bytes.
     """
     protocol = h11.Connection(h11.SERVER)
     try:
@@ -120,12 +121,12 @@
     head: h11.Request | h11.Response,
     body: bytes,
 ) -> None:
-    """Write a whole message in one call of the stream.
+    """Send a complete message in one write.
 
     :param stream: the connection.
     :param http: its protocol state.
-    :param head: the head; it states the body's length.
-    :param body: the whole body.
+    :param head: the head, which states the length of the body.
+    :param body: the complete body.
     """
     events = [head, h11.Data(data=body), h11.EndOfMessage()]
     await stream.send_all(b"".join(protocol.send(event) or b"" for event in events))
@@ -139,13 +140,13 @@
     timeout_s: float,
     most_bytes: int = MAX_BODY_BYTES,
 ) -> result.Result[Reply, HttpFailure]:
-    """Make one request on a connection of its own.
+    """Make one request on a new connection.
 
     :param connect: opens a connection.
     :param address: ``IP:port`` of the server.
-    :param request: what to send.
-    :param timeout_s: seconds until the answer must be complete.
-    :param most_bytes: the largest body that is read.
+    :param request: the request to send.
+    :param timeout_s: seconds within which the response must be complete.
+    :param most_bytes: maximum length of the body in bytes.
     """
     with trio.move_on_after(timeout_s):
         try:
@@ -177,11 +178,11 @@
 async def receive_message(
     stream: trio.abc.Stream, protocol: h11.Connection, *, most_bytes: int = MAX_BODY_BYTES
 ) -> tuple[h11.Request | h11.Response | None, bytes]:
-    """Read a whole message; the head is ``None`` if the connection ended before it.
+    """Read a complete message; the head is ``None`` if the connection ended before it.
 
     :param stream: the connection.
     :param http: its protocol state.
-    :param most_bytes: the largest body that is read.
+    :param most_bytes: maximum length of the body in bytes.
     :raises h11.RemoteProtocolError: if the message is malformed, cut off or too large.
     """
     head: h11.Request | h11.Response | None = None
@@ -194,7 +195,7 @@
             await trio.lowlevel.checkpoint()
         event = protocol.next_event()
         if event is h11.NEED_DATA:
-            # What frames the body in chunks may be many times as long as the body.
+            # The framing of a chunked body may be many times as long as the body.
             max_received = MAX_HEAD_BYTES if head is None else MAX_HEAD_BYTES + 2 * most_bytes
             if received > max_received:
                 raise h11.RemoteProtocolError("message too large", error_status_hint=413)
--- a/src/ebonyvalve/process/identity.py
+++ b/src/ebonyvalve/process/identity.py
@@ -1,4 +1,4 @@
-"""Identifiers shared by every part of the program."""
+"""Identifiers that all parts of the program share."""
 
 import typing
 
@@ -8,18 +8,19 @@
 ServiceId = typing.NewType("ServiceId", str)
 KeyId = typing.NewType("KeyId", str)
 Partition = typing.NewType("Partition", int)
-# A shard is the unit of ownership: a partition of a service, or one key assigned on its own.
+# A shard is the unit of ownership: a partition of a service, or a single key that is assigned
+# separately.
 ShardId = typing.NewType("ShardId", str)
 Fence = typing.NewType("Fence", int)
 Term = typing.NewType("Term", int)
 ConfigVersion = typing.NewType("ConfigVersion", int)
-# A random id drawn at each start, so that a restarted process is told from its predecessor.
+# A random id drawn at each start, by which a restarted process differs from its predecessor.
 Incarnation = typing.NewType("Incarnation", str)
 Address = typing.NewType("Address", str)
 Fingerprint = typing.NewType("Fingerprint", str)
-# One start of a target. A target that starts again under its old name is another lifetime.
+# One start of a target. A target that restarts under the same name has another lifetime.
 Lifetime = typing.NewType("Lifetime", str)
-# Keys are numbers from 0 to LAST_SLOT where targets hold ranges of them.
+# Where targets hold ranges of keys, a key is a number from 0 to LAST_SLOT.
 KeySlot = typing.NewType("KeySlot", int)
 LAST_SLOT = KeySlot(65_535)
 
@@ -36,7 +37,7 @@
 
 
 def name_key(service: ServiceId, key: KeyId) -> ShardId:
-    """Return the shard of a key that is assigned on its own.
+    """Return the shard of a single key.
 
     :param service: the service.
     :param key: the key.
@@ -45,9 +46,9 @@
 
 
 def split_shard(shard: ShardId) -> tuple[ServiceId, Partition | None, KeyId | None]:
-    """Return the service, and either the partition or the key, that a shard names.
+    """Return the service of a shard, and either its partition or its key.
 
-    :param shard: a name made by :func:`name_partition` or :func:`name_key`.
+    :param shard: a name returned by :func:`name_partition` or :func:`name_key`.
     """
     service, _, rest = shard.partition("/")
     if rest.startswith(KEY_PREFIX):
--- a/src/ebonyvalve/process/metrics.py
+++ b/src/ebonyvalve/process/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the process, for Prometheus. docs/OPERATIONS.md lists them with their units."""
+"""Prometheus metrics of the process. docs/OPERATIONS.md lists them with their units."""
 
 import collections.abc
 import dataclasses
@@ -10,10 +10,10 @@
 from ebonyvalve.process import assignment, identity, peer, platform, report
 
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
-# Series of services beyond these, or not in the configuration, are counted together.
+# Services beyond this number, or not in the configuration, share the series OTHER_SERVICE.
 MAX_SERVICES = 64
 OTHER_SERVICE = "other"
-# 0.019 is the objective for 99 in 100 requests.
+# 0.019 s is the latency objective for the 99th percentile.
 REQUEST_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.019, 0.03, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
 # Leases of 450 ms outlast the replacement of a standby if the table answers within 0.1 s.
 STORE_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
@@ -49,7 +49,7 @@
 
 
 class Attempt(enum.Enum):
-    """Why a request was sent once more."""
+    """Why a request was sent again."""
 
     RETRY = "retry"
     HEDGE = "hedge"
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TargetState:
-    """State of the target beside this node, counted in requests."""
+    """State of the local target; the numbers are in requests."""
 
     limit: float
     in_flight: int
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Metrics:
-    """The registry, its metrics, and the services that have series of their own."""
+    """The registry, its metrics, and the services that have their own series."""
 
     registry: prometheus_client.CollectorRegistry
     requests: prometheus_client.Counter
@@ -94,18 +94,18 @@
 
 
 def build_metrics() -> Metrics:
-    """Return metrics in a registry of their own."""
-    # Creation times double the series of counters and histograms.
+    """Return metrics in a new registry."""
+    # Creation timestamps would double the number of series of counters and histograms.
     prometheus_client.disable_created_metrics()  # type: ignore[no-untyped-call]
     registry = prometheus_client.CollectorRegistry()
 
-    def count(name: str, text: str, *labels: str) -> prometheus_client.Counter:
+    def counter(name: str, text: str, *labels: str) -> prometheus_client.Counter:
         return prometheus_client.Counter(PREFIX + name, text, labels, registry=registry)
 
     def gauge(name: str, text: str, *labels: str) -> prometheus_client.Gauge:
         return prometheus_client.Gauge(PREFIX + name, text, labels, registry=registry)
 
-    def time_in(
+    def histogram(
         name: str, text: str, buckets: tuple[float, ...], *labels: str
     ) -> prometheus_client.Histogram:
         return prometheus_client.Histogram(
@@ -114,11 +114,11 @@
 
     return Metrics(
         registry=registry,
-        requests=count("requests", "Requests by outcome.", "service", "verdict", "reason"),
-        request_seconds=time_in(
+        requests=counter("requests", "Requests by outcome.", "service", "verdict", "reason"),
+        request_seconds=histogram(
             "request_seconds", "Time to the end of the answer.", REQUEST_BUCKETS_S, "service"
         ),
-        attempts=count("attempts", "Requests sent once more.", "service", "kind"),
+        attempts=counter("attempts", "Requests sent once more.", "service", "kind"),
         retry_budget=gauge("retry_budget_requests", "Retries that the budget still allows."),
         target_limit=gauge("target_limit_requests", "Concurrency limit of the target."),
         target_in_flight=gauge("target_in_flight_requests", "Requests the target runs."),
@@ -127,19 +127,19 @@
         load_imbalance=gauge(
             "load_imbalance_ratio", "Load of the busiest target over the mean.", "service"
         ),
-        moves=count("shard_moves", "Shards that changed their owner.", "service", "reason"),
+        moves=counter("shard_moves", "Shards that changed their owner.", "service", "reason"),
         held_shards=gauge("held_shards", "Shards that this node owns.", "service"),
         unowned_shards=gauge("unowned_shards", "Shards without an owner.", "service"),
-        unavailable_seconds=count(
+        unavailable_seconds=counter(
             "shard_unavailable_seconds", "Time without an owner, summed over shards.", "service"
         ),
-        renewals=count("lease_renewals", "Heartbeats by their end.", "result"),
-        lease_expiries=count("lease_expiries", "Leases that expired before a renewal."),
+        renewals=counter("lease_renewals", "Heartbeats by their end.", "result"),
+        lease_expiries=counter("lease_expiries", "Leases that expired before a renewal."),
         lease_remaining=gauge("lease_remaining_seconds", "Time to the end of the lease."),
         role=gauge("role", "1 for the role of this node in its cell.", "role"),
         config_version=gauge("config_version", "Version of the configuration in force."),
-        peer_failures=count("peer_failures", "Control requests without a reply.", "failure"),
-        store_seconds=time_in(
+        peer_failures=counter("peer_failures", "Control requests without a reply.", "failure"),
+        store_seconds=histogram(
             "store_seconds",
             "Time of an operation on the platform.",
             STORE_BUCKETS_S,
@@ -158,10 +158,11 @@
 
 
 def set_services(metrics: Metrics, services: collections.abc.Iterable[identity.ServiceId]) -> None:
-    """Give these services series of their own and drop the series of all others.
+    """Give these services their own series, and drop the series of all others.
 
     :param metrics: the metrics.
-    :param services: the services of the configuration in force; the first 64 by name are taken.
+    :param services: the services of the configuration in force; of more than
+        :data:`MAX_SERVICES`, the first by name are taken.
     """
     kept = set(sorted(services)[:MAX_SERVICES])
     for service in metrics.services - kept:
@@ -178,26 +179,26 @@
     reason: enum.Enum,
     seconds: float,
 ) -> None:
-    """Count a request and the time it took.
+    """Count a request and observe its duration.
 
     :param metrics: the metrics.
-    :param service: its service, known or not.
+    :param service: its service, which may be unknown.
     :param verdict: whether it ran.
     :param reason: why it was not answered.
-    :param seconds: from its first byte to the end of its answer.
+    :param seconds: time from its first byte to the end of its answer.
     """
-    # Verdict and reason are taken as enums, so that no text of a caller becomes a label.
+    # Verdict and reason are enums, so that no text from a caller becomes a label.
     label = _label_service(metrics, service)
     metrics.requests.labels(label, verdict.value, reason.value).inc()
     metrics.request_seconds.labels(label).observe(seconds)
 
 
 def count_attempt(metrics: Metrics, service: identity.ServiceId, attempt: Attempt) -> None:
-    """Count a request that was sent once more.
+    """Count a request that was sent again.
 
     :param metrics: the metrics.
     :param service: its service.
-    :param attempt: why.
+    :param attempt: why it was sent again.
     """
     metrics.attempts.labels(_label_service(metrics, service), attempt.value).inc()
 
@@ -212,7 +213,7 @@
 
 
 def set_target(metrics: Metrics, state: TargetState) -> None:
-    """Set the state of the target beside this node.
+    """Set the state of the local target.
 
     :param metrics: the metrics.
     :param state: limit, requests in flight and waiting, and slow start.
@@ -226,11 +227,11 @@
 def set_loads(
     metrics: Metrics, service: identity.ServiceId, loads: collections.abc.Collection[float]
 ) -> None:
-    """Set the load imbalance of a service; it is 1 while there is no load.
+    """Set the load imbalance of a service: maximum over mean, 1 without load.
 
     :param metrics: the metrics.
     :param service: the service.
-    :param loads: load of each of its targets, in target seconds per second.
+    :param loads: load of each target, in seconds of target time per second.
     """
     mean = sum(loads) / len(loads) if loads else 0.0
     ratio = max(loads) / mean if mean > 0 else 1.0
@@ -278,7 +279,7 @@
     """Count a heartbeat.
 
     :param metrics: the metrics.
-    :param renewal: how it ended.
+    :param renewal: its result.
     """
     metrics.renewals.labels(renewal.value).inc()
 
@@ -304,7 +305,7 @@
     """Set the role of this node in its cell.
 
     :param metrics: the metrics.
-    :param role: the only role it has now.
+    :param role: its current role.
     """
     for other in report.Role:
         metrics.role.labels(other.value).set(other is role)
@@ -320,10 +321,10 @@
 
 
 def count_peer_failure(metrics: Metrics, failure: peer.PeerFailure) -> None:
-    """Count a control request without a reply.
+    """Count a control request that got no reply.
 
     :param metrics: the metrics.
-    :param failure: why.
+    :param failure: the reason.
     """
     metrics.peer_failures.labels(failure.value).inc()
 
@@ -331,12 +332,12 @@
 def observe_store(
     metrics: Metrics, operation: Operation, outcome: StoreOutcome, seconds: float
 ) -> None:
-    """Count an operation on the platform and the time it took.
+    """Count an operation on the platform and observe its duration.
 
     :param metrics: the metrics.
-    :param operation: what was asked.
+    :param operation: the kind of operation.
     :param outcome: how it ended.
-    :param seconds: from request to reply, or until it was given up.
+    :param seconds: time from the request to the reply, or until it was given up.
     """
     metrics.store_seconds.labels(operation.value, outcome.value).observe(seconds)
 
@@ -344,11 +345,11 @@
 def observe_platform(
     metrics: Metrics, services: platform.Platform, clock: collections.abc.Callable[[], float]
 ) -> platform.Platform:
-    """Return a platform that observes each operation of another one.
+    """Return a platform that passes each operation to another one and observes it.
 
     :param metrics: the metrics.
     :param services: the platform to observe.
-    :param clock: the current time in seconds.
+    :param clock: returns the current time in seconds.
     """
 
     async def read(key: str) -> platform.RowResult:
--- a/src/ebonyvalve/process/network.py
+++ b/src/ebonyvalve/process/network.py
@@ -1,4 +1,4 @@
-"""Addresses, and TCP connections with or without TLS."""
+"""TCP connections, with or without TLS, and their addresses."""
 
 import collections.abc
 import errno
@@ -24,10 +24,10 @@
 
 
 def check_address(address: str) -> None:
-    """Refuse an address to which no connection can be made.
+    """Raise an error unless an address has the form ``host:port``.
 
-    :param address: as another process may have named it.
-    :raises OSError: which callers take for a refused connection.
+    :param address: an address, which may come from another process.
+    :raises OSError: if it is malformed; callers handle this like a refused connection.
     """
     if not decoding.is_address(address):
         raise OSError(
@@ -39,7 +39,7 @@
     """Open a TCP connection.
 
     :param address: an IP number and a port.
-    :raises OSError: when the connection is refused.
+    :raises OSError: if the address is malformed or the connection is refused.
     """
     check_address(address)
     host, port = split_address(address)
@@ -49,8 +49,8 @@
 async def listen_tcp(address: str, serve: Serve) -> None:
     """Accept TCP connections until cancelled.
 
-    :param address: where to listen.
-    :param serve: runs for each connection.
+    :param address: the ``IP:port`` to listen on.
+    :param serve: called with each connection.
     """
     host, port = split_address(address)
     await trio.serve_tcp(serve, port, host=host)
@@ -59,7 +59,7 @@
 def build_tls_connect(context: ssl.SSLContext) -> Connect:
     """Return a function that opens TLS connections.
 
-    :param context: with the own certificate and the authority of the others.
+    :param context: a context made by :func:`build_context`.
     """
 
     async def connect(address: str) -> trio.abc.Stream:
@@ -78,9 +78,9 @@
 
 
 def build_tls_listen(context: ssl.SSLContext) -> Listen:
-    """Return a function that accepts TLS connections from holders of a valid certificate.
+    """Return a function that accepts TLS connections from peers with a valid certificate.
 
-    :param context: with the own certificate and the authority of the others.
+    :param context: a context made by :func:`build_context`.
     """
 
     async def listen(address: str, serve: Serve) -> None:
@@ -100,13 +100,13 @@
 
 
 def build_context(certificate: str, key: str, authority: str, *, is_server: bool) -> ssl.SSLContext:
-    """Return a TLS context that demands a certificate of the authority from the other end.
+    """Return a TLS context that requires the peer to present a certificate of the authority.
 
-    :param certificate: path of the own certificate, PEM.
-    :param key: path of its key, PEM.
-    :param authority: path of the authority's certificate, PEM.
-    :param is_server: whether the context accepts connections.
-    :raises errors.SettingsError: when a file cannot be read or does not fit the others.
+    :param certificate: path of this node's certificate, PEM.
+    :param key: path of its private key, PEM.
+    :param authority: path of the certificate authority's certificate, PEM.
+    :param is_server: whether the context is for the accepting side.
+    :raises errors.SettingsError: if a file cannot be read or the files do not match.
     """
     purpose = ssl.Purpose.CLIENT_AUTH if is_server else ssl.Purpose.SERVER_AUTH
     try:
--- a/src/ebonyvalve/process/operator.py
+++ b/src/ebonyvalve/process/operator.py
@@ -1,4 +1,4 @@
-"""The operators' port: health, readiness, metrics, status and explanations."""
+"""The operator port: health, readiness, metrics, status and explanations over HTTP."""
 
 import collections.abc
 import dataclasses
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Sources:
-    """What the port shows.
+    """Functions that return what the port shows.
 
-    ``list_obstacles`` returns why the node cannot serve, empty when it can. ``explain`` returns
-    ``None`` for a service that does not exist.
+    ``list_obstacles`` returns the reasons why the node cannot serve; none if it can. ``explain``
+    returns ``None`` for a service that does not exist.
     """
 
     list_obstacles: collections.abc.Callable[[], list[str]]
@@ -31,10 +31,11 @@
 async def respond(sources: Sources, request: http.Request) -> http.Reply:
     """Answer one request of an operator or of a monitoring system.
 
-    ``/healthz`` says that the process runs; ``/readyz`` says whether it can serve, and if not, why.
+    ``/healthz`` always succeeds while the process runs. ``/readyz`` returns status 503 and the
+    reasons while the node cannot serve.
 
-    :param sources: what to show.
-    :param request: a GET request.
+    :param sources: what the port shows.
+    :param request: the request; only GET is allowed.
     """
     if request.method != "GET":
         return http.Reply(status=405, body=b"only GET\n", content_type=TEXT)
--- a/src/ebonyvalve/process/peer.py
+++ b/src/ebonyvalve/process/peer.py
@@ -1,4 +1,4 @@
-"""How one node asks another, independent of the transport that carries the messages."""
+"""Types for control requests between nodes, independent of the transport."""
 
 import collections.abc
 import enum
@@ -11,8 +11,8 @@
 class PeerFailure(enum.Enum):
     """Why a request to another node got no reply.
 
-    Only ``REFUSED``, ``OVERLOADED`` and ``TOO_LARGE`` mean that the request was not sent. After any
-    other failure the peer may have carried it out.
+    With ``REFUSED``, ``OVERLOADED`` and ``TOO_LARGE`` the request was not sent. After any other
+    failure the peer may have executed it.
     """
 
     # No connection could be opened, or the peer did not accept the stream.
@@ -28,7 +28,7 @@
 
 
 AskResult = result.Result[message.Message, PeerFailure]
-# ask(address, request, timeout in seconds)
+# Sends a request: ask(address, request, timeout in seconds).
 Ask = collections.abc.Callable[
     [identity.Address, message.Message, float], collections.abc.Awaitable[AskResult]
 ]
--- a/src/ebonyvalve/process/report.py
+++ b/src/ebonyvalve/process/report.py
@@ -1,4 +1,4 @@
-"""What a node tells operators: the JSON bodies of ``/status`` and ``/explain/{service}/{key}``."""
+"""The JSON bodies of ``/status`` and ``/explain/{service}/{key}``, and their rendering as text."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Role(enum.Enum):
-    """The part that a node plays in its cell."""
+    """The role of a node in its cell."""
 
     COORDINATOR = "coordinator"
     STANDBY = "standby"
@@ -24,7 +24,7 @@
 
 
 class RouteKind(enum.Enum):
-    """How the answering node would route a request now."""
+    """How the reporting node would route a request now."""
 
     LOCAL = "local"
     HOP = "hop"
@@ -33,7 +33,7 @@
 
 
 class Target(msgspec.Struct, kw_only=True, frozen=True):
-    """A target as the answering node sees it."""
+    """A target as the reporting node sees it."""
 
     node: identity.NodeId
     zone: identity.ZoneId
@@ -43,16 +43,18 @@
     is_cold: bool = False
     is_leaving: bool = False
     is_straggler: bool = False
-    # The concurrency limit and the load are known only at the node beside the target.
+    # The concurrency limit; only the target's own node knows it.
     limit: float | None = None
+    # Requests that the reporting node has in flight at the target, and their mean latency.
     in_flight: int | None = None
     latency_ms: float | None = None
-    # The version in force at the node, from its last heartbeat; known only at the coordinator.
+    # The version in force at the target's node, from its last heartbeat; only the coordinator knows
+    # it.
     config_version: identity.ConfigVersion | None = None
 
 
 class Zone(msgspec.Struct, kw_only=True, frozen=True):
-    """A zone with the sum of its targets."""
+    """An availability zone with the totals of its targets."""
 
     name: identity.ZoneId
     targets: int
@@ -62,7 +64,7 @@
 
 
 class Shard(msgspec.Struct, kw_only=True, frozen=True):
-    """The owner of a shard; empty while nobody owns it."""
+    """A shard and its owner, which is empty while nobody owns the shard."""
 
     shard: identity.ShardId
     owner: identity.NodeId
@@ -70,7 +72,7 @@
 
 
 class Drain(msgspec.Struct, kw_only=True, frozen=True):
-    """A drain order in force and how far it has come."""
+    """A drain order in force and its progress."""
 
     name: str
     reason: str
@@ -80,7 +82,7 @@
 
 
 class Status(msgspec.Struct, kw_only=True, frozen=True):
-    """The body of ``/status``: the view of one node.
+    """The body of ``/status``: the state of a node and its view of the cell.
 
     ``lease_left_ms`` is 0 unless the lease is held. ``shards``, ``targets`` and ``zones`` cover the
     whole cell as far as the node knows it.
@@ -106,8 +108,8 @@
     """The body of ``/explain/{service}/{key}``.
 
     ``rules`` names the assignment rules that restrict the owner. ``owned_for_s`` and ``cause`` say
-    since when and why the owner has the shard, where the answering node knows it. ``refusals``
-    lists what would be refused now, with the reason.
+    for how long and why the owner has held the shard, if the reporting node knows. ``refusals``
+    lists the kinds of requests that would be refused now, with the reason.
     """
 
     node: identity.NodeId
@@ -135,7 +137,7 @@
 
 
 def render_status(status: Status) -> list[str]:
-    """Return a node's own state as lines of text.
+    """Return the state of a node itself as lines of text.
 
     :param status: the status.
     """
--- a/src/ebonyvalve/process/settings.py
+++ b/src/ebonyvalve/process/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the daemon."""
+"""Settings of the daemon: reading and checking them."""
 
 import ipaddress
 import pathlib
@@ -27,7 +27,7 @@
     hop_address: identity.Address
     peer_address: identity.Address
     operator_address: identity.Address
-    # The target beside the node announces itself here.
+    # The local target sends its announcements here.
     announce_address: identity.Address
     # Address of the platform's table service and object store.
     platform_address: identity.Address
@@ -37,7 +37,7 @@
     caller_connections: int = 1000
     log_form: decision.LogForm = decision.LogForm.KEY_VALUE
     log_level: str = "info"
-    # Share of the lines of answered requests that is written, 0 to 1.
+    # Share of answered requests that is logged, 0 to 1.
     log_answered_share: float = 1.0
     tls: Tls | None = None
     # Without TLS, addresses other than loopback are refused unless this is true.
@@ -52,7 +52,8 @@
     "announce_address",
     "platform_address",
 ]
-# Callers reach the node without client certificates.
+# Addresses that must be loopback or use TLS, unless plaintext is allowed. The caller address is not
+# among them, since callers have no client certificates.
 PRIVATE_FIELDS = ["hop_address", "peer_address", "operator_address", "announce_address"]
 LEVELS = ("debug", "info", "warning", "error")
 
@@ -61,7 +62,7 @@
     """Read and check the settings.
 
     :param path: a JSON file.
-    :raises errors.SettingsError: naming the file, the field and the cause.
+    :raises errors.SettingsError: if the settings are invalid; it names file, field and cause.
     """
     try:
         body = path.read_bytes()
@@ -78,7 +79,7 @@
 
 
 def check(settings: Settings) -> list[str]:
-    """Return every fault of the settings, each with the field and the cause.
+    """Return all faults of the settings, each with the field and the cause.
 
     :param settings: decoded settings.
     """
@@ -108,7 +109,7 @@
     if not port.isdigit() or not 0 <= int(port) <= 65535:
         return [f"{field}: port {port!r} is not 0 to 65535"]
     is_open = field in PRIVATE_FIELDS and not ip.is_loopback
-    # The target is on the same VM, and its announcements are never encrypted.
+    # Announcements are never encrypted, since the target is on the same VM.
     is_secured = settings.tls is not None and field != "announce_address"
     if is_open and not is_secured and not settings.allow_plaintext:
         return [
--- a/src/ebonyvalve/process/telemetry.py
+++ b/src/ebonyvalve/process/telemetry.py
@@ -1,4 +1,4 @@
-"""Copies the node's state into the metrics, once a second."""
+"""Updates the metrics that show the node's state, once a second."""
 
 import collections
 
@@ -10,11 +10,11 @@
 def refresh(
     node_metrics: metrics.Metrics, here: site.Site, owned: ownership.State, *, elapsed_s: float
 ) -> None:
-    """Set every metric that shows a state rather than counting events.
+    """Set the metrics that show a state; those that count events are set where the events occur.
 
-    :param book: the metrics.
+    :param node_metrics: the metrics.
     :param here: the node's state.
-    :param owned: the state of ownership.
+    :param owned: the node's ownership state.
     :param elapsed_s: seconds since the previous call.
     """
     node = here.read_node()
@@ -31,19 +31,19 @@
     metrics.set_lease(node_metrics, max(0.0, node.lease_end_s - here.now()))
     metrics.set_config_version(node_metrics, node.config_version)
     metrics.set_role(node_metrics, find_role(owned, here.now()))
-    held: collections.Counter[identity.ServiceId] = collections.Counter(
+    held_counts: collections.Counter[identity.ServiceId] = collections.Counter(
         identity.split_shard(shard)[0] for shard in node.holdings
     )
     for service in node_metrics.services:
-        metrics.set_held_shards(node_metrics, service, held[service])
+        metrics.set_held_shards(node_metrics, service, held_counts[service])
     if owned.leadership is not None:
         _refresh_cell(node_metrics, owned.leadership, elapsed_s)
 
 
 def find_role(owned: ownership.State, now_s: float) -> report.Role:
-    """Return the part that a node plays in its cell.
+    """Return the role of a node in its cell.
 
-    :param owned: the state of ownership.
+    :param owned: the node's ownership state.
     :param now_s: the time in seconds.
     """
     if owned.leadership is not None:
@@ -55,15 +55,15 @@
 def _refresh_cell(
     node_metrics: metrics.Metrics, leadership: ownership.Leadership, elapsed_s: float
 ) -> None:
-    """Set what only the coordinator knows: loads and shards without an owner."""
+    """Set the metrics that only the coordinator knows: loads and shards without an owner."""
     unowned: collections.Counter[identity.ServiceId] = collections.Counter(
         identity.split_shard(shard)[0]
         for shard, entry in leadership.rules.assignments.items()
         if entry.owner == lease.NOBODY and not entry.is_merged
     )
     loads: dict[identity.ServiceId, list[float]] = collections.defaultdict(list)
-    for known in leadership.rules.leases.values():
-        loads[known.member.service].append(sum(entry.load for entry in known.loads))
+    for node_lease in leadership.rules.leases.values():
+        loads[node_lease.member.service].append(sum(entry.load for entry in node_lease.loads))
     for service in node_metrics.services:
         metrics.count_unowned(node_metrics, service, shards=unowned[service], seconds=elapsed_s)
         metrics.set_loads(node_metrics, service, loads[service])
--- a/src/ebonyvalve/process/timer.py
+++ b/src/ebonyvalve/process/timer.py
@@ -1,4 +1,4 @@
-"""The timer service: the only clock and the only periodic waker of the process."""
+"""The timer service, from which the process takes its time and its wake-ups."""
 
 import collections.abc
 import dataclasses
@@ -13,7 +13,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Timer:
-    """Pending wake-ups, ordered by time."""
+    """The clock, and the pending wake-ups ordered by time.
+
+    Keys of ``waiting`` are the time in seconds and a sequence number; values are the events to set.
+    """
 
     clock: Clock
     waiting: sortedcontainers.SortedDict = dataclasses.field(
@@ -25,7 +28,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Subscription:
-    """A periodic wake-up."""
+    """A periodic wake-up: its period and next time, in seconds."""
 
     period_s: float
     next_at: float
@@ -34,8 +37,8 @@
 def read_boot_clock() -> float:
     """Return seconds since boot, including time spent suspended.
 
-    ``CLOCK_MONOTONIC`` stops while a VM is suspended, so a paused lease holder would not see
-    that its lease has lapsed.
+    ``CLOCK_MONOTONIC`` stops while a VM is suspended, so a lease holder that was suspended would
+    not notice that its lease has lapsed.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -60,10 +63,10 @@
 async def tick(timer: Timer, subscription: Subscription) -> float:
     """Wait until the subscription is due and return the current time in seconds.
 
-    Wake-ups missed while the process was paused are skipped, not delivered in a burst.
+    Wake-ups missed while the process was paused are skipped rather than delivered in a burst.
 
     :param timer: the timer service.
-    :param subscription: made by :func:`subscribe`.
+    :param subscription: returned by :func:`subscribe`.
     """
     await wait_until(timer, subscription.next_at)
     current = timer.clock()
@@ -93,7 +96,7 @@
 
 
 async def run(timer: Timer) -> None:
-    """Wake waiting tasks when they are due, until cancelled.
+    """Wake the waiting tasks as their times come, until cancelled.
 
     :param timer: the timer service.
     """
--- a/src/ebonyvalve/process/toy.py
+++ b/src/ebonyvalve/process/toy.py
@@ -1,4 +1,4 @@
-"""A toy target that keeps state per key, for the demo and the tests."""
+"""A toy target that stores a value per key, for the demo and the tests."""
 
 import collections
 import collections.abc
@@ -20,18 +20,18 @@
 
 
 class ToyState(enum.Enum):
-    """How the target behaves."""
+    """How the toy target behaves."""
 
     UP = "up"
     # Accepts connections and never answers.
     FROZEN = "frozen"
-    # Ends every connection at once, as a crashed process does.
+    # Closes every connection at once, like a crashed process.
     DOWN = "down"
 
 
 @dataclasses.dataclass(kw_only=True)
 class Run:
-    """One run of a request at the target."""
+    """One execution of a request at the target. Times are in seconds on the target's clock."""
 
     node: identity.NodeId
     key: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Database:
-    """The state per key, which targets of one service may share."""
+    """The values and the numbers of writes by key, which targets of one service may share."""
 
     values: dict[str, str] = dataclasses.field(default_factory=dict)
     counts: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
@@ -54,9 +54,12 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Toy:
-    """The state of one target.
+    """The state of one toy target.
 
-    ``crash_on`` is a path fragment; a request whose path holds it takes the target down.
+    A request whose path contains ``crash_on`` crashes the target. ``fences`` holds the highest
+    fencing token seen for each shard, ``running`` the number of requests in progress and
+    ``max_running`` its maximum. ``overloads`` counts the requests that started while the target was
+    beyond its capacity; see :func:`read_capacity`.
     """
 
     node: identity.NodeId
@@ -71,11 +74,11 @@
     runs: list[Run] = dataclasses.field(default_factory=list)
     running: int = 0
     max_running: int = 0
-    # While cold, the target bears one request, then more in proportion to the time since.
+    # A cold target has a capacity of one request, which grows linearly to all slots in this time.
     warm_up_s: float = 0.0
     cold_since_s: float = float("-inf")
     overloads: int = 0
-    # End of the node's lease, as the node last told, in seconds on the clock they share.
+    # The latest grant end received from the node, in seconds on the clock that they share.
     grant_end_s: float = 0.0
     thawed: trio.Event = dataclasses.field(default_factory=trio.Event)
 
@@ -97,7 +100,7 @@
 
 
 def freeze(toy: Toy) -> None:
-    """Stop answering while accepting connections.
+    """Make the target accept connections and requests without answering.
 
     :param toy: the target's state.
     """
@@ -106,7 +109,7 @@
 
 
 def thaw(toy: Toy) -> None:
-    """Go on as if nothing had happened.
+    """Make a frozen target resume the requests that it has received.
 
     :param toy: the target's state.
     """
@@ -123,7 +126,7 @@
 
 
 def read_capacity(toy: Toy) -> int:
-    """Return how many requests the target bears at once.
+    """Return how many concurrent requests the target can run without overload.
 
     :param toy: the target's state.
     """
@@ -179,7 +182,7 @@
 async def _run_unless_cancelled(
     toy: Toy, request: h11.Request, body: bytes, stream: trio.abc.Stream
 ) -> result.Result[Answer, ToyState]:
-    """Run a request until it ends, its deadline passes or its caller closes the connection."""
+    """Run a request until it ends, its deadline passes or the connection is closed."""
     headers = {name: value for name, value in request.headers}  # noqa: C416
     deadline_ms = int(headers.get(b"ebonyvalve-deadline-ms", b"60000"))
     answers: list[result.Result[Answer, ToyState]] = []
@@ -187,7 +190,8 @@
         async with trio.open_nursery() as nursery:
 
             async def watch() -> None:
-                # The toy's callers do not pipeline, so that anything read here is the end.
+                # Callers of the toy target do not pipeline, so this returns only at the end of the
+                # connection.
                 await stream.receive_some(1)
                 nursery.cancel_scope.cancel()
 
@@ -250,7 +254,7 @@
 
 
 def _is_current(toy: Toy, header: str) -> bool:
-    """Return whether the grant is in force: no higher fencing token was seen, no lease ended."""
+    """Return whether a fencing token is valid: none higher was seen, and the grant has not ended."""
     if not toy.checks_fence or not header:
         return True
     shard, _, number = header.rpartition(":")
@@ -282,7 +286,7 @@
 
 
 async def run(*, address: str, announce_address: str, node: str, slots: int) -> None:
-    """Serve on loopback, and announce the target to its node until that has taken it in.
+    """Serve a toy target and announce it to its node periodically, until cancelled.
 
     :param address: where the target listens, ``IP:port``.
     :param announce_address: where the node takes announcements.
@@ -300,7 +304,7 @@
         )
         request = http.Request(method="PUT", path="/announce", body=msgspec.json.encode(entry))
         while True:
-            # Repeated, because the node may be replaced at any time and keeps nothing.
+            # Repeated, because the node may restart at any time and does not store announcements.
             await http.fetch(network.connect_tcp, announce_address, request, timeout_s=1.0)
             await trio.sleep(ANNOUNCE_PERIOD_S)
 
--- a/src/ebonyvalve/standin/__init__.py
+++ b/src/ebonyvalve/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Plays other systems for tests and trials; a running daemon never imports it."""
+"""Stand-ins of other systems for tests and benchmarks. The daemon never imports them."""
--- a/src/ebonyvalve/standin/metadata.py
+++ b/src/ebonyvalve/standin/metadata.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store in memory, with the faults that its protocol allows."""
+"""An in-memory stand-in of the platform's metadata store, with the faults that may occur."""
 
 import base64
 import collections
@@ -18,23 +18,25 @@
 
 
 class Fault(enum.Enum):
-    """What the store does with the next calls."""
+    """How the store handles calls."""
 
     NONE = "none"
-    # Says that nothing was done.
+    # Refuses the call with status 503, which says that it was not executed.
     BUSY = "busy"
+    # Refuses the call with status 429, in the same way.
     LIMIT = "limit"
     # Does nothing and never answers.
     SILENT = "silent"
-    # Does what was asked and never answers.
+    # Executes the call and closes the connection without an answer.
     LOST = "lost"
-    # Does what was asked after ``late_s``, if its condition still holds, and never answers.
+    # Executes the call ``late_s`` later, when its conditions are checked, and closes the connection
+    # without an answer.
     LATE = "late"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Entry:
-    """A row with its version. ``value`` is ``None`` for one that was removed."""
+    """A row with its version. ``value`` is ``None`` for a removed row."""
 
     value: bytes | None
     version: int
@@ -44,7 +46,9 @@
 class Metadata:
     """The state of the store.
 
-    ``faults`` says for each caller what happens to its calls; ``""`` stands for all others.
+    ``delay_s`` is the delay of every call in seconds. ``log`` holds version and key of every write
+    since version ``oldest``. ``faults`` holds the fault for each caller; ``""`` stands for all
+    callers that are not named.
     """
 
     now: collections.abc.Callable[[], float]
@@ -57,18 +61,18 @@
     faults: dict[str, Fault] = dataclasses.field(default_factory=dict)
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
     calls: int = 0
-    # Calls by path and table.
+    # Number of calls by path and table.
     asked: collections.Counter[tuple[str, str]] = dataclasses.field(
         default_factory=collections.Counter
     )
-    # Bytes of answers by path and table.
+    # Bytes of the answers by path and table.
     told: collections.Counter[tuple[str, str]] = dataclasses.field(
         default_factory=collections.Counter
     )
 
 
 class WirePlace(msgspec.Struct, kw_only=True):
-    """A row in a transaction."""
+    """A row in a transaction: its place, with a version in conditions and a value in writes."""
 
     table: str
     key: str
@@ -87,7 +91,7 @@
 
 
 def put(state: Metadata, table: str, key: str, value: bytes | None) -> None:
-    """Write a row as the operator does.
+    """Write a row directly, as the platform's operator does.
 
     :param state: the store.
     :param table: its table.
@@ -100,7 +104,7 @@
 
 
 def compact(state: Metadata) -> None:
-    """Discard the history.
+    """Discard the history, so that feeds from earlier versions fail.
 
     :param state: the store.
     """
@@ -109,16 +113,16 @@
 
 
 def build_respond(state: Metadata, caller: str) -> http.Respond:
-    """Return what answers the HTTP calls of one caller; ``None`` closes the connection.
+    """Return a function that answers the HTTP calls of one caller.
 
     :param state: the store.
-    :param caller: who calls.
+    :param caller: name of the caller, for :attr:`Metadata.faults`.
     """
 
     async def respond(request: http.Request) -> http.Reply | None:
         state.calls += 1
-        kind = _find_kind(request)
-        state.asked[kind] += 1
+        path_and_table = _find_path_and_table(request)
+        state.asked[path_and_table] += 1
         fault = state.faults.get(caller, state.faults.get("", Fault.NONE))
         await trio.sleep(state.delay_s)
         if fault is Fault.BUSY:
@@ -130,9 +134,9 @@
         if fault is Fault.LATE:
             await trio.sleep(state.late_s)
         path, _, query = request.path.partition("?")
-        asked = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
-        reply = await _answer(state, request.method, path, asked, request.body)
-        state.told[kind] += len(reply.body)
+        parameters = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
+        reply = await _answer(state, request.method, path, parameters, request.body)
+        state.told[path_and_table] += len(reply.body)
         if fault in (Fault.LOST, Fault.LATE):
             return None
         return reply
@@ -140,13 +144,13 @@
     return respond
 
 
-def _find_kind(request: http.Request) -> tuple[str, str]:
-    """Return path and table of a call; a transaction counts for the table that it writes first."""
+def _find_path_and_table(request: http.Request) -> tuple[str, str]:
+    """Return path and table of a call; for a transaction, the table of its first write."""
     path, _, query = request.path.partition("?")
     if path != "/rows-tx":
         return path, dict(urllib.parse.parse_qsl(query)).get("table", "")
-    asked = msgspec.json.decode(request.body, type=WireTransaction)
-    written = [*asked.puts, *asked.remove]
+    transaction = msgspec.json.decode(request.body, type=WireTransaction)
+    written = [*transaction.puts, *transaction.remove]
     return path, written[0].table if written else ""
 
 
@@ -163,9 +167,9 @@
 
 
 def _transact(state: Metadata, transaction: WireTransaction) -> http.Reply:
-    places = [*transaction.precondition, *transaction.puts, *transaction.remove]
-    parts = {place.part for place in places}
-    if len(places) > MAX_ENTRIES or (len(parts) > 1 and not transaction.across):
+    entries = [*transaction.precondition, *transaction.puts, *transaction.remove]
+    parts = {place.part for place in entries}
+    if len(entries) > MAX_ENTRIES or (len(parts) > 1 and not transaction.across):
         return http.Reply(status=400, body=b"{}")
     if any(place.table in ("op", "servers") for place in [*transaction.puts, *transaction.remove]):
         return http.Reply(status=403, body=b"{}")
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -1,4 +1,4 @@
-"""A target of the platform: takes fenced grants by its reports and runs requests."""
+"""A stand-in of a platform target, which gets fenced grants in reply to its status reports."""
 
 import collections.abc
 import dataclasses
@@ -17,10 +17,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """A target with what it holds.
+    """The state of a target.
 
-    ``reached`` lists the ids of requests that came, ``budgets_ms`` the time budgets that they came
-    with, ``ran`` the ids of those that it has run.
+    ``holds`` lists the granted ranges of key slots as first, last and fencing token, which are
+    valid until the time ``until`` in seconds; ``released`` lists those to report as released.
+    ``reached`` lists the ids of the requests received, ``budgets_ms`` their remaining time in
+    milliseconds, and ``ran`` the ids of the requests completed. ``callers`` lists the services that
+    called, and ``dropped`` counts the requests dropped because their connection closed.
     """
 
     name: str
@@ -64,7 +67,7 @@
             await http.send_message(stream, protocol, reply, content)
             protocol.start_next_cycle()
     except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
-        # The router has closed the connection or broken off the request.
+        # The router closed the connection or aborted the request.
         return
     finally:
         await trio.aclose_forcefully(stream)
@@ -73,7 +76,7 @@
 async def _run_watched(
     target: Target, stream: trio.abc.Stream, head: h11.Request, body: bytes
 ) -> tuple[h11.Response, bytes] | None:
-    """Run a request, or drop it when its connection closes."""
+    """Run a request; return ``None`` if its connection closes before it ends."""
     answer: tuple[h11.Response, bytes] | None = None
     async with trio.open_nursery() as nursery:
 
@@ -128,7 +131,7 @@
 
 
 async def report(target: Target) -> None:
-    """Send status reports until cancelled.
+    """Send status reports periodically until cancelled.
 
     :param target: the target.
     """
@@ -159,6 +162,7 @@
 
 
 def _apply_reply(target: Target, answer: dict[str, object], sent_at: float) -> bool:
+    """Apply the reply to a report; return whether ranges were dropped, to be reported as released."""
     target.released = []
     rows = answer.get("holds")
     if not isinstance(rows, list):
@@ -173,7 +177,7 @@
 
 
 def count_keys(target: Target) -> int:
-    """Return how many keys the target holds.
+    """Return the number of key slots that the target holds.
 
     :param target: the target.
     """
