--- a/src/ebonyvalve/process/toy.py
+++ b/src/ebonyvalve/process/toy.py
@@ -254,7 +254,7 @@
 
 
 def _is_current(toy: Toy, header: str) -> bool:
-    """Return whether a fencing token is valid: none higher was seen, and the grant has not ended."""
+    """Return whether a fencing token is valid: none higher was seen, and the grant is in force."""
     if not toy.checks_fence or not header:
         return True
     shard, _, number = header.rpartition(":")
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -162,7 +162,7 @@
 
 
 def _apply_reply(target: Target, answer: dict[str, object], sent_at: float) -> bool:
-    """Apply the reply to a report; return whether ranges were dropped, to be reported as released."""
+    """Apply the reply to a report; return whether it took ranges away, which are now released."""
     target.released = []
     rows = answer.get("holds")
     if not isinstance(rows, list):
--- a/tests/process/test_http.py
+++ b/tests/process/test_http.py
@@ -1,4 +1,4 @@
-"""Small messages that come without end, until the reader closes the connection."""
+"""Tests of HTTP messages against peers that send without end."""
 
 import collections.abc
 
@@ -13,8 +13,8 @@
 TIMEOUT_S = 1.0
 FLOOD_PAUSE_S = 0.0005
 TRICKLE_PAUSE_S = 0.05
-MOST_BYTES = 262_144
-# One read may go beyond a limit.
+MAX_BODY_BYTES = 262_144
+# The limits are checked between reads, so that one read may exceed them.
 SLACK_BYTES = 2 * http.READ_BYTES
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -37,9 +37,9 @@
             return
 
     async def connect(_: str) -> trio.abc.Stream:
-        ours, theirs = trio.testing.lockstep_stream_pair()
-        nursery.start_soon(serve, theirs)
-        return ours
+        client_side, server_side = trio.testing.lockstep_stream_pair()
+        nursery.start_soon(serve, server_side)
+        return client_side
 
     return connect
 
@@ -51,10 +51,10 @@
         (OK + b"X-A: ", b"a", http.MAX_HEAD_BYTES),
         (OK, b"X-A: a\r\n", http.MAX_HEAD_BYTES),
         (b"", HINT, http.MAX_HEAD_BYTES),
-        (OK + CHUNKED, b"8000\r\n" + b"a" * 0x8000 + b"\r\n", MOST_BYTES),
-        (OK + CHUNKED, b"1;" + b"a" * 8_000 + b"\r\na\r\n", 2 * MOST_BYTES),
+        (OK + CHUNKED, b"8000\r\n" + b"a" * 0x8000 + b"\r\n", MAX_BODY_BYTES),
+        (OK + CHUNKED, b"1;" + b"a" * 8_000 + b"\r\na\r\n", 2 * MAX_BODY_BYTES),
         (OK + CHUNKED + b"0\r\n", b"X-A: a\r\n", http.MAX_HEAD_BYTES),
-        (OK + b"\r\n", b"a", MOST_BYTES),
+        (OK + b"\r\n", b"a", MAX_BODY_BYTES),
     ],
 )
 async def test_endless_answer_is_read_to_a_limit(
@@ -64,12 +64,17 @@
     unit: bytes,
     most_bytes: int,
 ) -> None:
-    """An answer to a ping, a push, a probe or a call to the store; it filled the memory."""
+    """Guards against an endless answer that fills the memory.
+
+    It may come in reply to a ping, a push, a probe or a call to the store.
+    """
     sent: list[int] = []
     flood = unit * max(1, http.READ_BYTES // len(unit))
     connect = build_connect(nursery, first, flood, FLOOD_PAUSE_S, sent)
     request = http.Request(method="GET", path="/")
-    replied = await http.fetch(connect, "a:1", request, timeout_s=TIMEOUT_S, most_bytes=MOST_BYTES)
+    replied = await http.fetch(
+        connect, "a:1", request, timeout_s=TIMEOUT_S, most_bytes=MAX_BODY_BYTES
+    )
     assert replied == result.Failure(http.HttpFailure.BROKEN)
     assert sum(sent) <= most_bytes + SLACK_BYTES
 
@@ -81,7 +86,7 @@
 async def test_trickling_answer_is_read_for_a_limited_time(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock, first: bytes, unit: bytes
 ) -> None:
-    """A byte now and then passes every limit of idle time."""
+    """Guards against an answer of single bytes, which never exceeds a limit of idle time."""
     connect = build_connect(nursery, first, unit, TRICKLE_PAUSE_S, [])
     request = http.Request(method="GET", path="/")
     started_at = trio.current_time()
@@ -91,23 +96,23 @@
 
 
 async def test_tiny_pieces_let_other_tasks_run() -> None:
-    """One read brings thousands of pieces; the loop stood still until all were handled."""
-    ours, theirs = trio.testing.memory_stream_pair()
+    """Guards against a read with thousands of chunks that blocks the event loop."""
+    client_side, server_side = trio.testing.memory_stream_pair()
     protocol = h11.Connection(h11.CLIENT)
     protocol.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     protocol.send(h11.EndOfMessage())
-    await theirs.send_all(OK + CHUNKED + b"1\r\na\r\n" * 5000 + b"0\r\n\r\n")
-    turns = 0
+    await server_side.send_all(OK + CHUNKED + b"1\r\na\r\n" * 5000 + b"0\r\n\r\n")
+    checkpoints = 0
 
     async def watch() -> None:
-        nonlocal turns
+        nonlocal checkpoints
         while True:
             await trio.lowlevel.checkpoint()
-            turns += 1
+            checkpoints += 1
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(watch)
-        _, body = await http.receive_message(ours, protocol)
+        _, body = await http.receive_message(client_side, protocol)
         nursery.cancel_scope.cancel()
     assert len(body) == 5000
-    assert turns > 50
+    assert checkpoints > 50
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics: values, bounds on series, and the operators' page."""
+"""Tests of the metrics: their values, the number of series, and the page that lists them."""
 
 import enum
 import pathlib
@@ -25,7 +25,7 @@
 
 
 def read_samples(observed: metrics.Metrics) -> dict[str, float]:
-    """Return the value of each series by its name and labels, from the exposition text."""
+    """Return the value of each series in the exposition text, by its name and labels."""
     text = metrics.render(observed).decode()
     samples: dict[str, float] = {}
     for family in prometheus_client.parser.text_string_to_metric_families(text):
@@ -49,7 +49,7 @@
 
 
 def test_values_of_a_service() -> None:
-    """Guards against an observation that lands in another series, or in another unit."""
+    """Guards against an observation in the wrong series or in the wrong unit."""
     observed = metrics.build_metrics()
     metrics.set_services(observed, [INVENTARIO])
     observe_everything(observed, INVENTARIO)
@@ -69,7 +69,7 @@
 
 
 def test_values_of_the_node() -> None:
-    """Guards against a role that is left set, or a lease that reads as negative."""
+    """Guards against a former role that stays set, and against a negative remaining lease."""
     observed = metrics.build_metrics()
     metrics.set_role(observed, report.Role.COORDINATOR)
     metrics.set_role(observed, report.Role.STANDBY)
@@ -112,7 +112,7 @@
 
 
 def test_names_from_callers_make_no_series() -> None:
-    """Guards against callers who fill the memory of a node with names of services."""
+    """Guards against callers that fill the memory of a node by naming unknown services."""
     observed = metrics.build_metrics()
     metrics.set_services(observed, [INVENTARIO])
     observe_everything(observed, identity.ServiceId("x"))
@@ -123,7 +123,7 @@
 
 
 def test_series_of_many_services_are_bounded() -> None:
-    """Guards against a configuration with more services than a scrape can carry."""
+    """Guards against a scrape that grows without bound with the services of the configuration."""
     observed = metrics.build_metrics()
     services = [identity.ServiceId(f"s{number:04}") for number in range(500)]
     metrics.set_services(observed, services)
@@ -136,7 +136,7 @@
 
 
 def test_removed_service_loses_its_series() -> None:
-    """Guards against series that pile up as services come and go over the life of a node."""
+    """Guards against series of removed services that accumulate while a node runs."""
     observed = metrics.build_metrics()
     for number in range(100):
         service = identity.ServiceId(f"s{number}")
@@ -149,7 +149,7 @@
 
 
 def test_two_sets_of_metrics_are_independent() -> None:
-    """Guards against a global registry, in which several nodes of one process would collide."""
+    """Guards against a global registry, where the metrics of nodes in one process would collide."""
     first, second = metrics.build_metrics(), metrics.build_metrics()
     metrics.count_expiry(first)
     assert read_samples(first)["ebonyvalve_lease_expiries_total{}"] == 1
@@ -157,7 +157,7 @@
 
 
 async def test_platform_is_observed() -> None:
-    """Guards against store operations that are missing from the metrics, or changed by them."""
+    """Guards against store operations that are not observed, or whose results are changed."""
     observed = metrics.build_metrics()
     memory = platform.Memory(delay_s=0.01)
     services = metrics.observe_platform(observed, platform.open_memory(memory), trio.current_time)
--- a/tests/process/test_network.py
+++ b/tests/process/test_network.py
@@ -1,4 +1,4 @@
-"""Tests of mutual TLS on the hop and operator ports."""
+"""Tests of mutual TLS, which the hop and operator ports use."""
 
 import dataclasses
 import pathlib
@@ -22,14 +22,14 @@
 
 
 def write_files(folder: pathlib.Path, authority: trustme.CA, name: str) -> Files:
-    issued = authority.issue_cert("127.0.0.1")
+    certificate = authority.issue_cert("127.0.0.1")
     files = Files(
         certificate=str(folder / f"{name}.pem"),
         key=str(folder / f"{name}.key"),
         authority=str(folder / f"{name}-authority.pem"),
     )
-    issued.cert_chain_pems[0].write_to_path(files.certificate)
-    issued.private_key_pem.write_to_path(files.key)
+    certificate.cert_chain_pems[0].write_to_path(files.certificate)
+    certificate.private_key_pem.write_to_path(files.key)
     authority.cert_pem.write_to_path(files.authority)
     return files
 
@@ -47,11 +47,11 @@
 async def test_only_holders_of_a_certificate_connect(
     is_known: bool, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against a peer without a certificate of the authority that is served all the same."""
+    """Guards against serving a peer whose certificate is not from the node's authority."""
     authority = trustme.CA()
     server = build_context(write_files(tmp_path, authority, "server"), is_server=True)
-    other = authority if is_known else trustme.CA()
-    files = write_files(tmp_path, other, "client")
+    client_authority = authority if is_known else trustme.CA()
+    files = write_files(tmp_path, client_authority, "client")
     # The client knows the server's authority in both cases; only its own certificate differs.
     authority.cert_pem.write_to_path(files.authority)
     client = build_context(files, is_server=False)
@@ -72,7 +72,7 @@
 
 
 def test_missing_file_is_named(tmp_path: pathlib.Path) -> None:
-    """Guards against a stack trace instead of a named file."""
+    """Guards against an error that does not name the missing file."""
     missing = str(tmp_path / "missing.pem")
     with pytest.raises(errors.SettingsError, match="missing"):
         network.build_context(missing, missing, missing, is_server=True)
--- a/tests/process/test_platform.py
+++ b/tests/process/test_platform.py
@@ -1,4 +1,4 @@
-"""The contract of the platform, checked on the stand-in in memory and over HTTP alike."""
+"""Contract tests of the platform, on the stand-in in memory and over HTTP."""
 
 import collections.abc
 import contextlib
@@ -45,7 +45,7 @@
 
 
 async def check_versions(services: platform.Platform, memory: platform.Memory) -> None:
-    """A version that repeats would let a stale writer win."""
+    """Guards against a version that is used twice, with which a stale writer would win."""
     table = services.table
     assert await table.read("a") == row(b"", 0)
     assert await table.commit({"a": 0}, {"a": b"\x00\xff"}) is COMMITTED
@@ -56,7 +56,7 @@
 
 
 async def check_several_rows(services: platform.Platform, memory: platform.Memory) -> None:
-    """A write that is applied in part would give a key two owners."""
+    """Guards against a commit that is applied in part, which would give a key two owners."""
     table = services.table
     assert await table.commit({"a": 0, "b": 0}, {"a": b"1", "b": b"1"}) is COMMITTED
     assert await table.commit({"a": 1, "b": 7}, {"a": b"2", "b": b"2", "c": b"2"}) is CONFLICT
@@ -68,7 +68,10 @@
 
 
 async def check_deletes(services: platform.Platform, memory: platform.Memory) -> None:
-    """A deleted row that restarts at version 1 would be taken for its predecessor."""
+    """Guards against a row that restarts at version 1 after its deletion.
+
+    A stale writer would take it for the row that it had read before.
+    """
     table = services.table
     await table.commit({}, {"a": b"1"})
     assert await table.commit({"a": 1}, {"a": None}) is COMMITTED
@@ -80,13 +83,16 @@
 
 
 async def check_empty_value(services: platform.Platform, memory: platform.Memory) -> None:
-    """An empty value must not read as a missing row."""
+    """Guards against an empty value that reads as a missing row."""
     assert await services.table.commit({"a": 0}, {"a": b""}) is COMMITTED
     assert await services.table.read("a") == row(b"", 1)
 
 
 async def check_scan(services: platform.Platform, memory: platform.Memory) -> None:
-    """A scan that takes in a neighbouring prefix would mix the pages of two services."""
+    """Guards against a scan that returns rows of a longer prefix.
+
+    It would mix the pages of two services.
+    """
     table = services.table
     await table.commit({}, {"page/a/1": b"1", "page/a/2": b"2", "page/ab/1": b"3", "é\n": b"4"})
     rows = (await table.scan("page/a/")).unwrap()
@@ -96,7 +102,10 @@
 
 
 async def check_lost_reply(services: platform.Platform, memory: platform.Memory) -> None:
-    """A lost reply that is reported as a conflict would make the writer give up what it owns."""
+    """Guards against a lost reply that is reported as a conflict.
+
+    The writer would give up what it owns.
+    """
     memory.lost_replies = 1
     assert await services.table.commit({"a": 0}, {"a": b"1"}) is UNKNOWN
     assert await services.table.read("a") == row(b"1", 1)
@@ -104,7 +113,7 @@
 
 
 async def check_outage(services: platform.Platform, memory: platform.Memory) -> None:
-    """An outage that reads as a missing row would let a cell be claimed twice."""
+    """Guards against an outage that reads as a missing row, and lets a cell be claimed twice."""
     await services.objects.put("body", b"1")
     memory.is_down = True
     assert await services.table.read("a") == UNAVAILABLE
@@ -119,7 +128,7 @@
 
 
 async def check_objects(services: platform.Platform, memory: platform.Memory) -> None:
-    """A missing object must be told from an outage, and large bodies must come back whole."""
+    """Guards against a missing object that reads as an outage, and against truncated bodies."""
     assert await services.objects.get("none") == result.Failure(platform.StoreFailure.MISSING)
     body = bytes(range(256)) * 8192
     assert await services.objects.put("body", body) == result.Success(None)
@@ -127,7 +136,10 @@
 
 
 async def check_parallel_writers(services: platform.Platform, memory: platform.Memory) -> None:
-    """Two writers that both win one version would both own it."""
+    """Guards against concurrent commits that both succeed on one version.
+
+    Both writers would own the row.
+    """
     states: list[platform.CommitState] = []
 
     async def write(number: int) -> None:
@@ -140,7 +152,10 @@
 
 
 async def check_verified_lost_reply(services: platform.Platform, memory: platform.Memory) -> None:
-    """A writer that lost the reply must learn that its write was applied."""
+    """Guards against a writer that does not learn that its write was applied.
+
+    The reply to the write was lost.
+    """
     memory.lost_replies = 1
     state = await commit.commit_and_verify(services.table, {"a": 0}, {"a": b"me 1"})
     assert state is COMMITTED
@@ -148,19 +163,19 @@
 
 
 async def check_verified_conflict(services: platform.Platform, memory: platform.Memory) -> None:
-    """An ordinary conflict must stay one."""
+    """Guards against a conflict that verification reports as something else."""
     await services.table.commit({"a": 0}, {"a": b"other"})
     assert await commit.commit_and_verify(services.table, {"a": 0}, {"a": b"me"}) is CONFLICT
 
 
 async def check_verified_outage(services: platform.Platform, memory: platform.Memory) -> None:
-    """A table that does not answer must not be taken for an answer."""
+    """Guards against an outage that verification reports as a commit or a conflict."""
     memory.is_down = True
     assert await commit.commit_and_verify(services.table, {"a": 0}, {"a": b"me"}) is UNKNOWN
 
 
 async def check_verified_short_outage(services: platform.Platform, memory: platform.Memory) -> None:
-    """A write that an outage has swallowed must be sent again."""
+    """Guards against a write that is lost in a short outage and not sent again."""
     memory.is_down = True
     async with trio.open_nursery() as nursery:
 
@@ -194,6 +209,6 @@
 @pytest.mark.parametrize("opener", OPENERS.values(), ids=OPENERS.keys())
 @pytest.mark.parametrize("scenario", SCENARIOS.values(), ids=SCENARIOS.keys())
 async def test_contract(scenario: Scenario, opener: Opener) -> None:
-    """Guards against a client that differs from the stand-in that all other tests use."""
+    """Guards against differences between the HTTP client and the stand-in that other tests use."""
     async with opener() as (services, memory):
         await scenario(services, memory)
--- a/tests/process/test_remote.py
+++ b/tests/process/test_remote.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's HTTP stand-in against faults of the network and of its clients."""
+"""Tests of the platform's HTTP stand-in with faults of the network and of its clients."""
 
 import collections.abc
 import contextlib
@@ -16,15 +16,15 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(memory: platform.Memory) -> collections.abc.AsyncIterator[int]:
+async def open_server(memory: platform.Memory) -> collections.abc.AsyncIterator[int]:
     async with trio.open_nursery() as nursery:
         yield await nursery.start(functools.partial(remote.serve, memory, host=HOST, port=0))
         nursery.cancel_scope.cancel()
 
 
 @contextlib.asynccontextmanager
-async def answering(reply: bytes) -> collections.abc.AsyncIterator[int]:
-    """Run a server that sends the same bytes to every request and closes."""
+async def open_scripted_server(reply: bytes) -> collections.abc.AsyncIterator[int]:
+    """Run a server that answers every connection with the same bytes and closes it."""
 
     async def accept(stream: trio.SocketStream) -> None:
         await stream.receive_some()
@@ -37,10 +37,10 @@
 
 
 async def test_late_reply_of_a_commit_is_unknown() -> None:
-    """Guards against a guess when a reply is late, and against its use for the next request."""
+    """Guards against a late reply that is guessed, or taken for the reply to the next request."""
     memory = platform.Memory(delay_s=0.3)
     async with (
-        serving(memory) as port,
+        open_server(memory) as port,
         remote.open_client(host=HOST, port=port, timeout_s=0.1) as services,
     ):
         start_s = time.monotonic()
@@ -54,8 +54,8 @@
 
 
 async def test_refused_connect() -> None:
-    """Guards against an exception from a client whose server is not there."""
-    async with serving(platform.Memory()) as port:
+    """Guards against an exception from a client whose server does not listen."""
+    async with open_server(platform.Memory()) as port:
         pass
     async with remote.open_client(host=HOST, port=port) as services:
         assert await services.table.read("a") == result.Failure(platform.StoreFailure.UNAVAILABLE)
@@ -63,7 +63,7 @@
 
 
 async def test_broken_replies() -> None:
-    """Guards against a broken reply that is taken for an answer, or that raises."""
+    """Guards against a malformed reply that counts as an answer or raises an exception."""
     ok = b"HTTP/1.1 200 OK\r\ncontent-length: "
     replies = [
         b"",
@@ -78,7 +78,7 @@
     ]
     for reply in replies:
         async with (
-            answering(reply) as port,
+            open_scripted_server(reply) as port,
             remote.open_client(host=HOST, port=port, timeout_s=0.5) as services,
         ):
             state = await services.table.commit({}, {"a": b""})
@@ -87,11 +87,11 @@
 
 
 async def test_malformed_requests_do_not_stop_the_server() -> None:
-    """Guards against input that stops the process."""
-    source = random.Random(20261204)
+    """Guards against malformed requests that end the server."""
+    rng = random.Random(20261204)
     head = b"POST /table/commit HTTP/1.1\r\nhost: a\r\ncontent-length: "
-    blobs = [source.randbytes(500) for _ in range(10)]
-    blobs += [
+    payloads = [rng.randbytes(500) for _ in range(10)]
+    payloads += [
         b"",
         head + b"2\r\n\r\n{}",
         head + b"5\r\n\r\n[[[[[",
@@ -101,11 +101,11 @@
         b"GET /table/read HTTP/1.1\r\nhost: a\r\n\r\n",
         b"POST /none HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n",
     ]
-    async with serving(platform.Memory()) as port:
-        for blob in blobs:
+    async with open_server(platform.Memory()) as port:
+        for payload in payloads:
             async with await trio.open_tcp_stream(HOST, port) as stream:
                 with contextlib.suppress(trio.BrokenResourceError):
-                    await stream.send_all(blob)
+                    await stream.send_all(payload)
                     await stream.send_eof()
                     with trio.fail_after(1.0):
                         await stream.receive_some()
@@ -114,11 +114,11 @@
 
 
 async def test_faults_are_set_over_http() -> None:
-    """Guards against an outage that cannot be ended because the server refuses the order."""
+    """Guards against a simulated outage that cannot be ended because the server refuses calls."""
     memory = platform.Memory()
-    async with serving(memory) as port, remote.open_client(host=HOST, port=port) as services:
-        down = remote.Faults(is_down=True, delay_s=0.01, lost_replies=2)
-        assert await remote.set_faults(host=HOST, port=port, faults=down)
+    async with open_server(memory) as port, remote.open_client(host=HOST, port=port) as services:
+        outage = remote.Faults(is_down=True, delay_s=0.01, lost_replies=2)
+        assert await remote.set_faults(host=HOST, port=port, faults=outage)
         assert await services.table.read("a") == result.Failure(platform.StoreFailure.UNAVAILABLE)
         assert await remote.set_faults(host=HOST, port=port, faults=remote.Faults(lost_replies=1))
         assert await services.table.commit({}, {"a": b"1"}) is platform.CommitState.UNKNOWN
@@ -126,10 +126,10 @@
 
 
 async def test_restarted_server_is_reached_again() -> None:
-    """Guards against kept connections to a former server that fail every request after it."""
+    """Guards against idle connections to a stopped server that fail requests to the next one."""
     memory = platform.Memory()
     async with contextlib.AsyncExitStack() as stack:
-        async with serving(memory) as port:
+        async with open_server(memory) as port:
             services = await stack.enter_async_context(remote.open_client(host=HOST, port=port))
             assert await services.table.commit({}, {"a": b"1"}) is platform.CommitState.COMMITTED
         async with trio.open_nursery() as nursery:
@@ -141,10 +141,10 @@
 
 
 async def test_client_bounds_its_connections() -> None:
-    """Guards against a connection for every request while the table is slow."""
+    """Guards against a new connection for every request while the table is slow."""
     memory = platform.Memory(delay_s=0.02)
     async with (
-        serving(memory) as port,
+        open_server(memory) as port,
         remote.open_client(host=HOST, port=port, connections=3) as services,
     ):
         start_s = time.monotonic()
@@ -155,10 +155,10 @@
 
 
 async def test_no_thread_is_started() -> None:
-    """Guards against a look-up of the address that leaves the one thread."""
+    """Guards against an address look-up that starts a thread; the program uses only one."""
     before = set(threading.enumerate())
     async with (
-        serving(platform.Memory()) as port,
+        open_server(platform.Memory()) as port,
         remote.open_client(host=HOST, port=port) as services,
     ):
         assert await services.table.read("a") == result.Success(platform.Row())
--- a/tests/process/test_settings.py
+++ b/tests/process/test_settings.py
@@ -36,7 +36,7 @@
 def test_fault_is_named(
     change: dict[str, typing.Any], expected: str, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against settings that are refused without file, field and cause, or accepted."""
+    """Guards against faulty settings that are accepted, or refused without naming the cause."""
     path = tmp_path / "settings.json"
     good = json.loads(msgspec.json.encode(demo.build_settings(0)))
     path.write_text(json.dumps({**good, **change}))
@@ -47,14 +47,14 @@
 
 
 def test_plaintext_beyond_loopback_must_be_allowed() -> None:
-    """Guards against a setting that is checked but cannot be overridden."""
+    """Guards against a check for plaintext that allow_plaintext does not turn off."""
     cfg = msgspec.structs.replace(demo.build_settings(0), peer_address="10.0.0.1:80")
     assert settings.check(cfg)
     assert not settings.check(msgspec.structs.replace(cfg, allow_plaintext=True))
 
 
 def test_page_names_every_setting() -> None:
-    """Guards against settings that the page lacks, or that exist on the page only."""
+    """Guards against settings that the page does not list, or that only the page lists."""
     section = PAGE.read_text().split("## Settings of the daemon")[1]
     named = set(re.findall(r"^\| `(\w+)` \|", section, re.MULTILINE))
     assert named == {field.name for field in msgspec.structs.fields(settings.Settings)}
--- a/tests/process/test_target.py
+++ b/tests/process/test_target.py
@@ -1,4 +1,4 @@
-"""Tests of the rules for the state of the target beside a node."""
+"""Tests of the rules by which a node takes its target as up or down."""
 
 import collections.abc
 
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize(("events", "is_up"), CASES)
 def test_state_after_events(events: list[Event], is_up: bool) -> None:
-    """Guards against work for a target that is gone, and against giving one up too early."""
+    """Guards against a dead target that is kept in service, and a live one that is taken out."""
     state = target.Target()
     for number, event in enumerate(events):
         event(state, 1.0 + number * 0.1)
@@ -66,14 +66,14 @@
     [(0, 0.5, False), (0, 1.1, True), (1, 0.2, False), (1, 0.3, True)],
 )
 def test_probe_is_made_only_in_silence(in_flight: int, silent_s: float, is_due: bool) -> None:
-    """Guards against probes, at 6 ms each, of a target that answers requests."""
+    """Guards against probes of a target that answers requests; each costs 6 ms."""
     state = target.Target()
     announce(state, 1.0)
     assert target.is_probe_due(state, in_flight, 1.0 + silent_s) is is_due
 
 
 def test_grant_is_not_lengthened_while_the_target_is_silent() -> None:
-    """Guards against a frozen target that is told of a later end with each request it gets."""
+    """Guards against a frozen target whose grant gets a later end with each request sent to it."""
     state = target.Target()
     announce(state, 1.0)
     assert target.record_sent(state, 2.0) == 2.0
--- a/tests/process/test_timer.py
+++ b/tests/process/test_timer.py
@@ -1,4 +1,4 @@
-"""Tests of the timer service on a substituted clock."""
+"""Tests of the timer service with a simulated clock."""
 
 import trio
 import trio.testing
@@ -7,7 +7,7 @@
 
 
 async def test_tick_skips_missed_wakeups(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a burst of heartbeats after the process was paused."""
+    """Guards against a burst of wake-ups, and so of heartbeats, after the process was paused."""
     offset = 0.0
     service = timer.Timer(clock=lambda: trio.current_time() + offset)
     async with trio.open_nursery() as nursery:
@@ -23,7 +23,7 @@
 
 
 async def test_wait_until_orders_waiters(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against an earlier waiter that is not seen behind a later one."""
+    """Guards against a task that is woken late because one with a later time waited first."""
     service = timer.Timer(clock=trio.current_time)
     start = timer.now(service)
     woken: list[float] = []
