--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -222,9 +222,9 @@
         return _find_service(node, service).token_life_s
 
     def describe_service(service: identity.ServiceId) -> ownership.ServiceTraits:
-        found = _find_service(node, service)
+        config = _find_service(node, service)
         return ownership.ServiceTraits(
-            checks_fence=found.checks_fence, deadline_s=found.deadline_ms / 1000
+            checks_fence=config.checks_fence, deadline_s=config.deadline_ms / 1000
         )
 
     def place(view: assignment.PlacementView) -> assignment.Plan:
@@ -251,7 +251,7 @@
         place=place,
         release=functools.partial(handover.release, here, node.timer),
         install=lambda moved: handover.install(here, moved, find_life),
-        inherit=lambda source, heir: handover.inherit(here, source, heir, find_life),
+        inherit=lambda source, recipient: handover.inherit(here, source, recipient, find_life),
         forget=functools.partial(handover.forget, here),
         cancel_requests=functools.partial(handover.cancel_requests, here),
         notify=functools.partial(site.notify, here),
@@ -332,11 +332,11 @@
     def choose_route(
         service: identity.ServiceId, key: identity.KeyId
     ) -> tuple[report.RouteKind, identity.NodeId | None, str]:
-        found = _find_service(node, service)
+        config = _find_service(node, service)
         chosen = routing.choose(
             handler.build_view(node.here, key),
             service,
-            shard=handler.find_shard(node.here, found, key),
+            shard=handler.find_shard(node.here, config, key),
         )
         return report.RouteKind(chosen.choice.value), chosen.node, chosen.reason.value
 
--- a/src/ebonyvalve/process/monitor.py
+++ b/src/ebonyvalve/process/monitor.py
@@ -129,8 +129,8 @@
         return False
     # The probe carries the grant end, so that a request that takes longer than a lease can still be
     # applied.
-    until = ("ebonyvalve-grant-until-ms", str(site.tell_grant_end_ms(monitor.here)))
-    request = http.Request(method="GET", path=HEALTH_PATH, headers=(until,))
+    grant_header = ("ebonyvalve-grant-until-ms", str(site.tell_grant_end_ms(monitor.here)))
+    request = http.Request(method="GET", path=HEALTH_PATH, headers=(grant_header,))
     fetched = await http.fetch(
         monitor.connect,
         address,
--- a/src/ebonyvalve/process/network.py
+++ b/src/ebonyvalve/process/network.py
@@ -66,13 +66,13 @@
         host, _ = split_address(address)
         stream = await connect_tcp(address)
         assert isinstance(stream, trio.SocketStream)
-        secured = trio.SSLStream(stream, context, server_hostname=host)
+        tls_stream = trio.SSLStream(stream, context, server_hostname=host)
         try:
-            await secured.do_handshake()
+            await tls_stream.do_handshake()
         except (trio.BrokenResourceError, ssl.SSLError) as exc:
-            await trio.aclose_forcefully(secured)
+            await trio.aclose_forcefully(tls_stream)
             raise OSError(f"TLS with {address} failed: {exc}") from exc
-        return secured
+        return tls_stream
 
     return connect
 
@@ -84,17 +84,17 @@
     """
 
     async def listen(address: str, serve: Serve) -> None:
-        async def secure(stream: trio.abc.Stream) -> None:
+        async def accept(stream: trio.abc.Stream) -> None:
             assert isinstance(stream, trio.SocketStream)
-            secured = trio.SSLStream(stream, context, server_side=True)
+            tls_stream = trio.SSLStream(stream, context, server_side=True)
             try:
-                await secured.do_handshake()
+                await tls_stream.do_handshake()
             except (trio.BrokenResourceError, ssl.SSLError):
-                await trio.aclose_forcefully(secured)
+                await trio.aclose_forcefully(tls_stream)
                 return
-            await serve(secured)
+            await serve(tls_stream)
 
-        await listen_tcp(address, secure)
+        await listen_tcp(address, accept)
 
     return listen
 
--- a/src/ebonyvalve/process/site.py
+++ b/src/ebonyvalve/process/site.py
@@ -97,7 +97,7 @@
 def is_drained(site: Site) -> bool:
     """Return whether the node has been drained for more than :data:`DRAIN_LIMIT_S`.
 
-    From then on it takes no new work.
+    From then on it accepts no new requests.
 
     :param site: the node's state.
     """
@@ -231,7 +231,7 @@
             event.set()
 
 
-def tell_grant_end_ms(here: Site) -> int:
+def tell_grant_end_ms(site: Site) -> int:
     """Return the grant end for the next request or probe, in milliseconds, and record it as sent.
 
     The grant end is the time until which the target may serve, on the clock of the VM, which node
@@ -242,24 +242,24 @@
     target has not answered, whichever is earlier. A target that froze may run the requests that it
     has received once it resumes, and its shards can move only when it can no longer do so.
 
-    :param here: the node's state; the caller sends a request or probe next.
+    :param site: the node's state; the caller sends a request or probe next.
     """
-    now_s = here.now()
-    if here.in_flight[here.node] <= 1:
+    now_s = site.now()
+    if site.in_flight[site.node] <= 1:
         # Abandoned requests don't show that the target is silent once nothing else is in flight.
-        here.target.unanswered_since_s = here.target.last_reply_s
-    unanswered_since_s = target.record_sent(here.target, now_s)
-    end_s = min(here.read_node().lease_end_s, unanswered_since_s + lease.LEASE_S)
-    here.told_until_s = max(here.told_until_s, end_s)
+        site.target.unanswered_since_s = site.target.last_reply_s
+    unanswered_since_s = target.record_sent(site.target, now_s)
+    end_s = min(site.read_node().lease_end_s, unanswered_since_s + lease.LEASE_S)
+    site.told_until_s = max(site.told_until_s, end_s)
     # The lease end is minus infinity before the first lease.
     return int(max(end_s, 0.0) * 1000)
 
 
-def note_doubt(here: Site, shard: identity.ShardId, until_s: float) -> None:
+def note_doubt(site: Site, shard: identity.ShardId, until_s: float) -> None:
     """Record that the target may still run a request whose connection has ended.
 
-    :param here: the node's state.
+    :param site: the node's state.
     :param shard: the shard of the request.
     :param until_s: the time in seconds after which it cannot run: its deadline or the grant end.
     """
-    here.doubts[shard] = max(here.doubts.get(shard, until_s), until_s)
+    site.doubts[shard] = max(site.doubts.get(shard, until_s), until_s)
--- a/src/ebonyvalve/process/timer.py
+++ b/src/ebonyvalve/process/timer.py
@@ -1,4 +1,4 @@
-"""The timer service, from which the process takes its time and its wake-ups."""
+"""The timer service: the only clock and the only source of periodic wake-ups in the process."""
 
 import collections.abc
 import dataclasses
@@ -96,7 +96,7 @@
 
 
 async def run(timer: Timer) -> None:
-    """Wake the waiting tasks as their times come, until cancelled.
+    """Wake waiting tasks when they are due, until cancelled.
 
     :param timer: the timer service.
     """
--- a/src/ebonyvalve/standin/metadata.py
+++ b/src/ebonyvalve/standin/metadata.py
@@ -213,8 +213,10 @@
 
 
 def _list_changed(state: Metadata, table: str, after: int) -> list[RowKey]:
-    newest = {name: version for version, name in state.log if version > after and name[0] == table}
-    return sorted(newest, key=lambda name: (newest[name], name))
+    latest_versions = {
+        name: version for version, name in state.log if version > after and name[0] == table
+    }
+    return sorted(latest_versions, key=lambda name: (latest_versions[name], name))
 
 
 def _build_row_key(place: WirePlace) -> RowKey:
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -60,7 +60,7 @@
             head, body = await http.receive_message(stream, protocol)
             if not isinstance(head, h11.Request):
                 return
-            answer = await _run_watched(target, stream, head, body)
+            answer = await _run_unless_closed(target, stream, head, body)
             if answer is None:
                 return
             reply, content = answer
@@ -73,7 +73,7 @@
         await trio.aclose_forcefully(stream)
 
 
-async def _run_watched(
+async def _run_unless_closed(
     target: Target, stream: trio.abc.Stream, head: h11.Request, body: bytes
 ) -> tuple[h11.Response, bytes] | None:
     """Run a request; return ``None`` if its connection closes before it ends."""
@@ -95,13 +95,13 @@
 async def _run(target: Target, head: h11.Request, body: bytes) -> tuple[h11.Response, bytes]:
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     request_id = headers.get("x-attempt-id", "")
-    named = ("x-attempt-id", request_id)
+    id_header = ("x-attempt-id", request_id)
     target.reached.append(request_id)
     target.budgets_ms.append(int(headers.get("x-deadline-ms", "0")))
     if headers.get("x-expect-instance") != target.name or not _may_run(target, headers):
-        return _reply(MISDIRECTED, [named, ("x-not-executed", "1")], b"")
+        return _reply(MISDIRECTED, [id_header, ("x-not-executed", "1")], b"")
     if target.running >= target.slots:
-        return _reply(FULL, [named, ("x-not-executed", "1")], b"")
+        return _reply(FULL, [id_header, ("x-not-executed", "1")], b"")
     target.running += 1
     try:
         await trio.sleep(target.work_s)
@@ -110,8 +110,8 @@
     target.ran.append(request_id)
     target.callers.append(headers.get("x-caller-service", ""))
     content = body or f"{target.name} {head.target.decode()}".encode()
-    sealed = [named, ("x-response-seal", "seal")]
-    return _reply(SERVED, sealed, content)
+    reply_headers = [id_header, ("x-response-seal", "seal")]
+    return _reply(SERVED, reply_headers, content)
 
 
 def _may_run(target: Target, headers: dict[str, str]) -> bool:
@@ -125,8 +125,8 @@
 def _reply(
     status: int, headers: collections.abc.Sequence[tuple[str, str]], body: bytes
 ) -> tuple[h11.Response, bytes]:
-    named = [*headers, ("content-length", str(len(body)))]
-    head = [(name.encode(), value.encode("latin-1")) for name, value in named]
+    all_headers = [*headers, ("content-length", str(len(body)))]
+    head = [(name.encode(), value.encode("latin-1")) for name, value in all_headers]
     return h11.Response(status_code=status, headers=head), body
 
 
@@ -162,18 +162,18 @@
 
 
 def _apply_reply(target: Target, answer: dict[str, object], sent_at: float) -> bool:
-    """Apply the reply to a report; return whether it took ranges away, which are now released."""
+    """Apply the reply to a report; return whether it revoked ranges, which are now released."""
     target.released = []
     rows = answer.get("holds")
     if not isinstance(rows, list):
         return False
-    given = [(first, last, fence) for first, last, fence, _ in rows]
-    dropped = [row for row in target.holds if row not in given]
-    target.released = [(first, last, f"h{fence}") for first, last, fence in dropped]
-    target.holds = given
+    granted = [(first, last, fence) for first, last, fence, _ in rows]
+    revoked = [row for row in target.holds if row not in granted]
+    target.released = [(first, last, f"h{fence}") for first, last, fence in revoked]
+    target.holds = granted
     hold_s = answer.get("hold_s", 0.0)
     target.until = sent_at + (hold_s if isinstance(hold_s, float | int) else 0.0)
-    return bool(dropped)
+    return bool(revoked)
 
 
 def count_keys(target: Target) -> int:
--- a/tests/process/test_settings.py
+++ b/tests/process/test_settings.py
@@ -36,7 +36,7 @@
 def test_fault_is_named(
     change: dict[str, typing.Any], expected: str, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against faulty settings that are accepted, or refused without naming the cause."""
+    """Guards against faults that are accepted, or refused without naming file, field and cause."""
     path = tmp_path / "settings.json"
     good = json.loads(msgspec.json.encode(demo.build_settings(0)))
     path.write_text(json.dumps({**good, **change}))
