--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -97,7 +97,7 @@
 
     cfg: settings.Settings
     timer: timer.Timer
-    edges: Edges
+    environment: Edges
     here: site.Site
     monitor: monitor.Monitor
     handler: handler.Handler
@@ -111,18 +111,19 @@
     placing: placement.State = dataclasses.field(default_factory=placement.State)
 
 
-def assemble(cfg: settings.Settings, edges: Edges) -> Node:
+def assemble(cfg: settings.Settings, environment: Edges) -> Node:
     """Build a node without starting it.
 
     :param cfg: its settings.
-    :param edges: its sockets, clock and platform.
+    :param environment: its sockets, clock and platform.
     """
-    clock = timer.Timer(clock=edges.clock)
+    clock = timer.Timer(clock=environment.clock)
     node_metrics = metrics.build_metrics()
-    edges = dataclasses.replace(
-        edges, platform=metrics.observe_platform(node_metrics, edges.platform, edges.clock)
+    environment = dataclasses.replace(
+        environment,
+        platform=metrics.observe_platform(node_metrics, environment.platform, environment.clock),
     )
-    incarnation = identity.Incarnation(f"{edges.random.getrandbits(64):016x}")
+    incarnation = identity.Incarnation(f"{environment.random.getrandbits(64):016x}")
     unowned = lease.Node(node=cfg.node, incarnation=incarnation)
 
     def read_node() -> lease.Node:
@@ -132,22 +133,22 @@
         node=cfg.node,
         zone=cfg.zone,
         incarnation=incarnation,
-        now=edges.clock,
+        now=environment.clock,
         read_node=read_node,
-        random=edges.random,
+        random=environment.random,
         target=target.Target(slots=cfg.slots),
         admission=limit.create(slots=cfg.slots, warm_up_s=0.0),
-        account=accounting.Account(landmark_s=edges.clock()),
+        account=accounting.Account(landmark_s=environment.clock()),
     )
     target_pool = pool.Pool(
-        connect=edges.connect_target, now=edges.clock, max_connections=cfg.connections
+        connect=environment.connect_target, now=environment.clock, max_connections=cfg.connections
     )
     request_handler = handler.Handler(
         here=here,
         snapshot=lambda: node.snapshot,
         target_pool=target_pool,
         hop_pool=pool.Pool(
-            connect=edges.connect_hop, now=edges.clock, max_connections=cfg.connections
+            connect=environment.connect_hop, now=environment.clock, max_connections=cfg.connections
         ),
         log_answered_share=cfg.log_answered_share,
         observe=functools.partial(_count_request, node_metrics),
@@ -155,17 +156,17 @@
     node = Node(
         cfg=cfg,
         timer=clock,
-        edges=edges,
+        environment=environment,
         here=here,
         monitor=monitor.Monitor(
             here=here,
             timer=clock,
-            connect=edges.connect_target,
+            connect=environment.connect_target,
             drop_idle=functools.partial(pool.close_idle, target_pool),
         ),
         handler=request_handler,
-        caller_front=_build_front(cfg, request_handler, edges.clock, is_hop=False),
-        hop_front=_build_front(cfg, request_handler, edges.clock, is_hop=True),
+        caller_front=_build_front(cfg, request_handler, environment.clock, is_hop=False),
+        hop_front=_build_front(cfg, request_handler, environment.clock, is_hop=True),
         metrics=node_metrics,
     )
     node.owned = ownership.open_state(cfg.cell, _build_ports(node))
@@ -244,9 +245,9 @@
         quarantine.import_entries(here.quarantined, entries, here.now())
 
     return ownership.Ports(
-        ask=node.edges.ask,
-        table=node.edges.platform.table,
-        objects=node.edges.platform.objects,
+        ask=node.environment.ask,
+        table=node.environment.platform.table,
+        objects=node.environment.platform.objects,
         timer=node.timer,
         place=place,
         release=functools.partial(handover.release, here, node.timer),
@@ -322,7 +323,7 @@
 def _build_sources(node: Node, owned: ownership.State) -> operator.Sources:
     async def read_status() -> report.Status:
         with trio.move_on_after(STORE_CHECK_TIMEOUT_S):
-            row = await node.edges.platform.table.read(ownership.HEAD_ROW)
+            row = await node.environment.platform.table.read(ownership.HEAD_ROW)
             does_answer = isinstance(row, result.Success)
             return diagnostics.build_status(
                 node.here, node.snapshot, owned, does_store_answer=does_answer
@@ -360,7 +361,7 @@
         raise errors.InvariantError(
             "the ownership state is not set; build the node with assemble()"
         )
-    cfg, edges = node.cfg, node.edges
+    cfg, environment = node.cfg, node.environment
     serve_announcements = functools.partial(
         http.serve, functools.partial(monitor.respond, node.monitor)
     )
@@ -370,19 +371,19 @@
         nursery.start_soon(_refresh_periodically, node, owned)
         nursery.start_soon(monitor.run, node.monitor)
         nursery.start_soon(
-            edges.serve_control, functools.partial(ownership.handle, owned), cfg.peer_address
+            environment.serve_control, functools.partial(ownership.handle, owned), cfg.peer_address
         )
-        nursery.start_soon(edges.listen, cfg.announce_address, serve_announcements)
+        nursery.start_soon(environment.listen, cfg.announce_address, serve_announcements)
         respond_to_operators = functools.partial(operator.respond, _build_sources(node, owned))
         nursery.start_soon(
-            edges.listen_private,
+            environment.listen_private,
             cfg.operator_address,
             functools.partial(http.serve, respond_to_operators),
         )
         serve_hops = functools.partial(front.serve, node.hop_front)
-        nursery.start_soon(edges.listen_private, cfg.hop_address, serve_hops)
+        nursery.start_soon(environment.listen_private, cfg.hop_address, serve_hops)
         serve_callers = functools.partial(front.serve, node.caller_front)
-        nursery.start_soon(edges.listen, cfg.caller_address, serve_callers)
+        nursery.start_soon(environment.listen, cfg.caller_address, serve_callers)
         nursery.start_soon(ownership.run, owned)
 
 
@@ -434,7 +435,7 @@
 
 
 @contextlib.asynccontextmanager
-async def open_edges(cfg: settings.Settings) -> collections.abc.AsyncIterator[Edges]:
+async def open_environment(cfg: settings.Settings) -> collections.abc.AsyncIterator[Edges]:
     """Yield real sockets, a client of the platform and the boot clock.
 
     :param cfg: the daemon's settings.
@@ -493,10 +494,10 @@
     """
     async with (
         signals.open_receiver() as received,
-        open_edges(cfg) as edges,
+        open_environment(cfg) as environment,
         trio.open_nursery() as nursery,
     ):
-        node = assemble(cfg, edges)
+        node = assemble(cfg, environment)
         nursery.start_soon(run, node)
         await received.stop.wait()
         await stop(node)
--- a/src/ebonyvalve/process/demo.py
+++ b/src/ebonyvalve/process/demo.py
@@ -134,8 +134,8 @@
     :param control: the control channel that the nodes share.
     """
     store = platform.open_memory(platform.Memory())
-    edges = build_edges(control, store, random.Random())
-    nodes = [daemon.assemble(build_settings(index), edges) for index in range(NODES)]
+    environment = build_edges(control, store, random.Random())
+    nodes = [daemon.assemble(build_settings(index), environment) for index in range(NODES)]
     return Mesh(
         nodes=nodes,
         targets=[
