--- a/src/ebonyvalve/process/http.py
+++ b/src/ebonyvalve/process/http.py
@@ -61,7 +61,9 @@
 async def serve(
     respond: Respond, stream: trio.abc.Stream, *, most_bytes: int = MAX_BODY_BYTES
 ) -> None:
-    """Serve one connection until it ends or is idle for :data:`IDLE_TIMEOUT_S`.
+    """Serve one connection until it ends, or until a request takes over :data:`IDLE_TIMEOUT_S`.
+
+    The time of a request includes the wait for it.
 
     :param respond: returns the reply to a request; ``None`` closes the connection without one.
     :param stream: the accepted connection.
--- a/src/ebonyvalve/process/target.py
+++ b/src/ebonyvalve/process/target.py
@@ -8,14 +8,15 @@
 from ebonyvalve.process import decoding, identity
 
 # A probe costs about 6 ms (docs/design.md, section 1), so the target is probed only after it has
-# sent no reply for this long: STALL_S with requests in flight, IDLE_PROBE_S without.
+# sent no reply for IDLE_PROBE_S; for STALL_S if requests are in flight or it is down.
 STALL_S = 0.25
 IDLE_PROBE_S = 1.0
 PROBE_TIMEOUT_S = 0.1
 PROBES_TO_DOWN = 2
 PROBES_TO_UP = 2
 # The health endpoint may report a target as healthy that answers no requests. One that misses this
-# many deadlines in a row is taken as down although it answers probes.
+# many deadlines in a row is taken as down although it answers probes, and is next probed after
+# RETRY_AFTER_MISSES_S.
 MISSES_TO_DOWN = 5
 RETRY_AFTER_MISSES_S = 2.0
 
