--- a/src/ebonyvalve/process/site.py
+++ b/src/ebonyvalve/process/site.py
@@ -36,14 +36,14 @@
 class Site:
     """State of one node, shared by its requests. Times are in seconds on the clock of ``now``.
 
-    ``flights`` holds the requests that run at the local target, by shard. ``lost`` holds the
-    requests whose connection to it broke recently, each with the time. ``admitted`` holds an event
-    for each request that waits for admission. ``books`` holds the latencies per service, and
-    ``in_flight`` the number of requests in flight per node.
-
-    Each of the events ``changed``, ``landed`` and ``started`` is replaced by a new one when it is
-    set. ``changed`` is set when ownership, members or the target's state change, ``landed`` when
-    the last request of a shard ends at the local target.
+    ``flights`` holds the requests that run at the local target, by shard. ``lost`` holds
+    the requests whose connection to it broke recently, each with the time. ``admitted``
+    holds an event for each request that waits for admission. ``books`` holds the latencies
+    per service, and ``in_flight`` the number of requests in flight per node.
+
+    Each of the events ``changed``, ``landed`` and ``started`` is replaced by a new one
+    when it is set. ``changed`` is set when ownership, members or the target's state change,
+    ``landed`` when the last request of a shard ends at the local target.
     """
 
     node: identity.NodeId
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -22,8 +22,9 @@
     ``holds`` lists the granted ranges of key slots as first, last and fencing token, which are
     valid until the time ``until`` in seconds; ``released`` lists those to report as released.
     ``reached`` lists the ids of the requests received, ``budgets_ms`` their remaining time in
-    milliseconds, and ``ran`` the ids of the requests completed. ``callers`` lists the services that
-    called, and ``dropped`` counts the requests dropped because their connection closed.
+    milliseconds, and ``ran`` the ids of the requests completed. ``callers`` lists the
+    services that called, and ``dropped`` counts the requests dropped because their connection
+    closed.
     """
 
     name: str
