--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -1,4 +1,4 @@
-"""Wires one node together, and the program ``ebonyvalved``."""
+"""Assembles a node from its parts, and runs it as the program ``ebonyvalved``."""
 
 import collections.abc
 import contextlib
@@ -53,21 +53,24 @@
 log = logging.getLogger(__name__)
 
 DEFAULT_DEADLINE_S = 1.0
-DEFAULT_BODY_BYTES = 1024 * 1024
+DEFAULT_MAX_BODY_BYTES = 1024 * 1024
 SWEEP_PERIOD_S = 0.1
 IDLE_SWEEP_PERIOD_S = 1.0
-# A planned stop waits this long for requests in flight; longer ones have passed their deadline.
-GRACE_S = 60.0
-STORE_CHECK_S = 0.5
+# A graceful stop waits this long for requests in flight. Requests that run longer have passed their
+# deadline.
+STOP_GRACE_S = 60.0
+STORE_CHECK_TIMEOUT_S = 0.5
 STORE_TIMEOUT_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Edges:
-    """The outside world of a node: real sockets and clock, or those of a test.
+    """What a node uses of its environment: real sockets, clock and platform, or those of a test.
 
-    ``connect_target`` opens connections to the target, ``connect_hop`` to other nodes.
-    ``serve_control`` answers control messages of other nodes until cancelled.
+    ``connect_target`` opens connections to the target, ``connect_hop`` to other nodes. ``listen``
+    accepts connections of callers and of the target, ``listen_private`` those of other nodes and of
+    operators. ``ask`` sends a control message to another node, and ``serve_control`` answers those
+    of other nodes until cancelled.
     """
 
     connect_target: network.Connect
@@ -85,11 +88,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Node:
-    """One node, assembled."""
+    """An assembled node.
+
+    ``snapshot``, ``shards`` and ``place`` are derived from the configuration in force; ``snapshot``
+    and ``place`` are ``None`` before the first one. ``placing`` keeps the state of placement when
+    the configuration changes.
+    """
 
     cfg: settings.Settings
     timer: timer.Timer
-    edges: Edges
+    environment: Edges
     here: site.Site
     monitor: monitor.Monitor
     handler: handler.Handler
@@ -103,18 +111,19 @@
     placing: placement.State = dataclasses.field(default_factory=placement.State)
 
 
-def assemble(cfg: settings.Settings, edges: Edges) -> Node:
+def assemble(cfg: settings.Settings, environment: Edges) -> Node:
     """Build a node without starting it.
 
     :param cfg: its settings.
-    :param edges: its outside world.
+    :param environment: its sockets, clock and platform.
     """
-    clock = timer.Timer(clock=edges.clock)
-    book = metrics.build_metrics()
-    edges = dataclasses.replace(
-        edges, platform=metrics.observe_platform(book, edges.platform, edges.clock)
+    clock = timer.Timer(clock=environment.clock)
+    node_metrics = metrics.build_metrics()
+    environment = dataclasses.replace(
+        environment,
+        platform=metrics.observe_platform(node_metrics, environment.platform, environment.clock),
     )
-    incarnation = identity.Incarnation(f"{edges.random.getrandbits(64):016x}")
+    incarnation = identity.Incarnation(f"{environment.random.getrandbits(64):016x}")
     unowned = lease.Node(node=cfg.node, incarnation=incarnation)
 
     def read_node() -> lease.Node:
@@ -124,77 +133,79 @@
         node=cfg.node,
         zone=cfg.zone,
         incarnation=incarnation,
-        now=edges.clock,
+        now=environment.clock,
         read_node=read_node,
-        random=edges.random,
+        random=environment.random,
         target=target.Target(slots=cfg.slots),
         admission=limit.create(slots=cfg.slots, warm_up_s=0.0),
-        account=accounting.Account(landmark_s=edges.clock()),
+        account=accounting.Account(landmark_s=environment.clock()),
     )
     target_pool = pool.Pool(
-        connect=edges.connect_target, now=edges.clock, max_connections=cfg.connections
+        connect=environment.connect_target, now=environment.clock, max_connections=cfg.connections
     )
-    shared = handler.Handler(
+    request_handler = handler.Handler(
         here=here,
         snapshot=lambda: node.snapshot,
         target_pool=target_pool,
         hop_pool=pool.Pool(
-            connect=edges.connect_hop, now=edges.clock, max_connections=cfg.connections
+            connect=environment.connect_hop, now=environment.clock, max_connections=cfg.connections
         ),
         log_answered_share=cfg.log_answered_share,
-        observe=functools.partial(_count_request, book),
+        observe=functools.partial(_count_request, node_metrics),
     )
     node = Node(
         cfg=cfg,
         timer=clock,
-        edges=edges,
+        environment=environment,
         here=here,
         monitor=monitor.Monitor(
             here=here,
             timer=clock,
-            connect=edges.connect_target,
+            connect=environment.connect_target,
             drop_idle=functools.partial(pool.close_idle, target_pool),
         ),
-        handler=shared,
-        caller_front=_build_front(cfg, shared, edges.clock, is_hop=False),
-        hop_front=_build_front(cfg, shared, edges.clock, is_hop=True),
-        metrics=book,
+        handler=request_handler,
+        caller_front=_build_front(cfg, request_handler, environment.clock, is_hop=False),
+        hop_front=_build_front(cfg, request_handler, environment.clock, is_hop=True),
+        metrics=node_metrics,
     )
     node.owned = ownership.open_state(cfg.cell, _build_ports(node))
     return node
 
 
 def _count_request(
-    book: metrics.Metrics, call: exchange.Call, ended: outcome.Outcome, seconds: float
+    node_metrics: metrics.Metrics, call: exchange.Call, ended: outcome.Outcome, seconds: float
 ) -> None:
-    # A hop is counted where the caller came in.
+    # A request that arrived as a hop is counted at its origin.
     if not call.is_hop:
         metrics.count_request(
-            book, call.service, verdict=ended.verdict, reason=ended.reason, seconds=seconds
+            node_metrics, call.service, verdict=ended.verdict, reason=ended.reason, seconds=seconds
         )
 
 
-def _count_heartbeat(book: metrics.Metrics, reply: peer.AskResult) -> None:
+def _count_heartbeat(node_metrics: metrics.Metrics, reply: peer.AskResult) -> None:
     if isinstance(reply, result.Failure):
-        metrics.count_peer_failure(book, reply.failure())
-        metrics.count_renewal(book, metrics.Renewal.UNANSWERED)
+        metrics.count_peer_failure(node_metrics, reply.failure())
+        metrics.count_renewal(node_metrics, metrics.Renewal.UNANSWERED)
         return
     is_renewed = isinstance(reply.unwrap(), message.Renewal)
-    metrics.count_renewal(book, metrics.Renewal.RENEWED if is_renewed else metrics.Renewal.REFUSED)
+    metrics.count_renewal(
+        node_metrics, metrics.Renewal.RENEWED if is_renewed else metrics.Renewal.REFUSED
+    )
 
 
 def _build_front(
-    cfg: settings.Settings, shared: handler.Handler, clock: timer.Clock, *, is_hop: bool
+    cfg: settings.Settings, request_handler: handler.Handler, clock: timer.Clock, *, is_hop: bool
 ) -> front.Front:
     def find_limits(name: identity.ServiceId) -> tuple[float, int]:
-        current = shared.snapshot()
-        found = None if current is None else current.services.get(name)
-        if found is None:
-            return DEFAULT_DEADLINE_S, DEFAULT_BODY_BYTES
-        return found.deadline_ms / 1000, found.max_body_bytes
+        snapshot = request_handler.snapshot()
+        service = None if snapshot is None else snapshot.services.get(name)
+        if service is None:
+            return DEFAULT_DEADLINE_S, DEFAULT_MAX_BODY_BYTES
+        return service.deadline_ms / 1000, service.max_body_bytes
 
     async def handle(call: exchange.Call, caller: exchange.Caller) -> outcome.Outcome:
-        return await handler.handle(shared, call, caller)
+        return await handler.handle(request_handler, call, caller)
 
     return front.Front(
         now=clock,
@@ -212,9 +223,9 @@
         return _find_service(node, service).token_life_s
 
     def describe_service(service: identity.ServiceId) -> ownership.ServiceTraits:
-        found = _find_service(node, service)
+        config = _find_service(node, service)
         return ownership.ServiceTraits(
-            checks_fence=found.checks_fence, deadline_s=found.deadline_ms / 1000
+            checks_fence=config.checks_fence, deadline_s=config.deadline_ms / 1000
         )
 
     def place(view: assignment.PlacementView) -> assignment.Plan:
@@ -234,14 +245,14 @@
         quarantine.import_entries(here.quarantined, entries, here.now())
 
     return ownership.Ports(
-        ask=node.edges.ask,
-        table=node.edges.platform.table,
-        objects=node.edges.platform.objects,
+        ask=node.environment.ask,
+        table=node.environment.platform.table,
+        objects=node.environment.platform.objects,
         timer=node.timer,
         place=place,
         release=functools.partial(handover.release, here, node.timer),
         install=lambda moved: handover.install(here, moved, find_life),
-        inherit=lambda source, heir: handover.inherit(here, source, heir, find_life),
+        inherit=lambda source, recipient: handover.inherit(here, source, recipient, find_life),
         forget=functools.partial(handover.forget, here),
         cancel_requests=functools.partial(handover.cancel_requests, here),
         notify=functools.partial(site.notify, here),
@@ -260,13 +271,13 @@
 
 
 def _find_service(node: Node, service: identity.ServiceId) -> objects.Service:
-    """Return a service of the configuration in force, or one with the default fields."""
+    """Return a service of the configuration in force; one with default fields if it has none."""
     found = None if node.snapshot is None else node.snapshot.services.get(service)
     return objects.Service(name=service) if found is None else found
 
 
 def adopt_config(node: Node, version: identity.ConfigVersion, body: bytes) -> None:
-    """Put a configuration in force at this node.
+    """Apply a configuration to the node.
 
     :param node: the node.
     :param version: its version.
@@ -289,7 +300,7 @@
 
 
 def describe_member(node: Node) -> message.Member:
-    """Return what the node tells the coordinator of itself.
+    """Return what a heartbeat says about this node.
 
     :param node: the node.
     """
@@ -311,22 +322,22 @@
 
 def _build_sources(node: Node, owned: ownership.State) -> operator.Sources:
     async def read_status() -> report.Status:
-        with trio.move_on_after(STORE_CHECK_S):
-            found = await node.edges.platform.table.read(ownership.HEAD_ROW)
-            answers = isinstance(found, result.Success)
+        with trio.move_on_after(STORE_CHECK_TIMEOUT_S):
+            row = await node.environment.platform.table.read(ownership.HEAD_ROW)
+            does_answer = isinstance(row, result.Success)
             return diagnostics.build_status(
-                node.here, node.snapshot, owned, does_store_answer=answers
+                node.here, node.snapshot, owned, does_store_answer=does_answer
             )
         return diagnostics.build_status(node.here, node.snapshot, owned, does_store_answer=False)
 
-    def choose(
+    def choose_route(
         service: identity.ServiceId, key: identity.KeyId
     ) -> tuple[report.RouteKind, identity.NodeId | None, str]:
-        found = _find_service(node, service)
+        config = _find_service(node, service)
         chosen = routing.choose(
             handler.build_view(node.here, key),
             service,
-            shard=handler.find_shard(node.here, found, key),
+            shard=handler.find_shard(node.here, config, key),
         )
         return report.RouteKind(chosen.choice.value), chosen.node, chosen.reason.value
 
@@ -334,7 +345,7 @@
         list_obstacles=lambda: diagnostics.list_obstacles(node.here, node.snapshot),
         read_status=read_status,
         explain=lambda service, key: diagnostics.explain(
-            node.here, node.snapshot, owned, service, key, choose
+            node.here, node.snapshot, owned, service, key, choose_route
         ),
         render_metrics=functools.partial(metrics.render, node.metrics),
     )
@@ -347,31 +358,39 @@
     """
     owned = node.owned
     if owned is None:
-        raise errors.InvariantError("a node runs without its ownership state")
-    cfg, edges = node.cfg, node.edges
-    announced = functools.partial(http.serve, functools.partial(monitor.respond, node.monitor))
+        raise errors.InvariantError(
+            "the ownership state is not set; build the node with assemble()"
+        )
+    cfg, environment = node.cfg, node.environment
+    serve_announcements = functools.partial(
+        http.serve, functools.partial(monitor.respond, node.monitor)
+    )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(timer.run, node.timer)
-        nursery.start_soon(_sweep, node)
-        nursery.start_soon(_tidy, node, owned)
+        nursery.start_soon(_sweep_pools, node)
+        nursery.start_soon(_refresh_periodically, node, owned)
         nursery.start_soon(monitor.run, node.monitor)
         nursery.start_soon(
-            edges.serve_control, functools.partial(ownership.handle, owned), cfg.peer_address
+            environment.serve_control, functools.partial(ownership.handle, owned), cfg.peer_address
         )
-        nursery.start_soon(edges.listen, cfg.announce_address, announced)
-        operated = functools.partial(operator.respond, _build_sources(node, owned))
+        nursery.start_soon(environment.listen, cfg.announce_address, serve_announcements)
+        respond_to_operators = functools.partial(operator.respond, _build_sources(node, owned))
         nursery.start_soon(
-            edges.listen_private, cfg.operator_address, functools.partial(http.serve, operated)
+            environment.listen_private,
+            cfg.operator_address,
+            functools.partial(http.serve, respond_to_operators),
         )
-        hop_serve = functools.partial(front.serve, node.hop_front)
-        nursery.start_soon(edges.listen_private, cfg.hop_address, hop_serve)
-        caller_serve = functools.partial(front.serve, node.caller_front)
-        nursery.start_soon(edges.listen, cfg.caller_address, caller_serve)
+        serve_hops = functools.partial(front.serve, node.hop_front)
+        nursery.start_soon(environment.listen_private, cfg.hop_address, serve_hops)
+        serve_callers = functools.partial(front.serve, node.caller_front)
+        nursery.start_soon(environment.listen, cfg.caller_address, serve_callers)
         nursery.start_soon(ownership.run, owned)
 
 
 async def stop(node: Node) -> None:
-    """Hand over the node's shards, and wait for its requests in flight.
+    """Hand over the node's shards, then wait for the requests at the local target.
+
+    The wait ends after :data:`STOP_GRACE_S` seconds.
 
     :param node: a running node.
     """
@@ -380,12 +399,13 @@
         await ownership.leave(node.owned)
     front.stop(node.caller_front)
     front.stop(node.hop_front)
-    with trio.move_on_after(GRACE_S):
+    with trio.move_on_after(STOP_GRACE_S):
         while node.here.flights:
             await node.here.landed.wait()
 
 
-async def _tidy(node: Node, owned: ownership.State) -> None:
+async def _refresh_periodically(node: Node, owned: ownership.State) -> None:
+    """Update the metrics and drop expired entries of the token memories, once a second."""
     subscription = timer.subscribe(node.timer, period_s=telemetry.PERIOD_S)
     last_s = timer.now(node.timer)
     while True:
@@ -396,29 +416,32 @@
         last_s = now_s
 
 
-async def _sweep(node: Node) -> None:
+async def _sweep_pools(node: Node) -> None:
+    """Sweep the connection pools and drop expired quarantine entries, periodically."""
     pools = (node.handler.target_pool, node.handler.hop_pool)
     while True:
-        # Every wake-up of an idle process costs CPU; without connections there is nothing to do.
+        # Every wake-up of an idle process costs CPU, so sweeps are rare without open connections.
         period_s = (
-            SWEEP_PERIOD_S if any(each.connections for each in pools) else IDLE_SWEEP_PERIOD_S
+            SWEEP_PERIOD_S
+            if any(connection_pool.connections for connection_pool in pools)
+            else IDLE_SWEEP_PERIOD_S
         )
         now_s = timer.now(node.timer)
         await timer.wait_until(node.timer, now_s + period_s)
         quarantine.forget(node.here.quarantined, timer.now(node.timer))
         p99_s = straggler.read_quantile(node.here.books[node.cfg.service], 0.99)
-        for each in pools:
-            await pool.sweep(each, p99_s=p99_s)
+        for connection_pool in pools:
+            await pool.sweep(connection_pool, p99_s=p99_s)
 
 
 @contextlib.asynccontextmanager
-async def open_edges(cfg: settings.Settings) -> collections.abc.AsyncIterator[Edges]:
-    """Yield real sockets, the platform's client and the machine's clock.
+async def open_environment(cfg: settings.Settings) -> collections.abc.AsyncIterator[Edges]:
+    """Yield real sockets, a client of the platform and the boot clock.
 
     :param cfg: the daemon's settings.
     """
     host, port = network.split_address(cfg.platform_address)
-    connect, listen, client_tls, server_tls = _build_private(cfg)
+    connect, listen, client_tls, server_tls = _build_private_transport(cfg)
     async with (
         channel.open_channel(tls=client_tls) as control,
         remote.open_client(host=host, port=port, timeout_s=STORE_TIMEOUT_S) as store,
@@ -436,10 +459,14 @@
         )
 
 
-def _build_private(
+def _build_private_transport(
     cfg: settings.Settings,
 ) -> tuple[network.Connect, network.Listen, ssl.SSLContext | None, ssl.SSLContext | None]:
-    """Return how the node reaches other nodes and operators, with mutual TLS where it is set."""
+    """Return functions that connect to other nodes and listen on private ports, and TLS contexts.
+
+    The contexts are the client's and the server's of the control channel. Without ``tls`` in the
+    settings they are ``None``, and the functions use plain TCP.
+    """
     if cfg.tls is None:
         return network.connect_tcp, network.listen_tcp, None, None
     files = channel.TlsFiles(
@@ -447,11 +474,11 @@
     )
     client_tls = channel.load_client_tls(files)
     server_tls = channel.load_server_tls(files)
-    files_of_hop = (cfg.tls.certificate, cfg.tls.key, cfg.tls.authority)
-    hop_client = network.build_context(*files_of_hop, is_server=False)
-    # VMs are replaced at any time, so that certificates need not name addresses.
+    hop_files = (cfg.tls.certificate, cfg.tls.key, cfg.tls.authority)
+    hop_client = network.build_context(*hop_files, is_server=False)
+    # VMs are replaced at any time, so certificates need not name the addresses of their nodes.
     hop_client.check_hostname = False
-    hop_server = network.build_context(*files_of_hop, is_server=True)
+    hop_server = network.build_context(*hop_files, is_server=True)
     return (
         network.build_tls_connect(hop_client),
         network.build_tls_listen(hop_server),
@@ -467,10 +494,10 @@
     """
     async with (
         signals.open_receiver() as received,
-        open_edges(cfg) as edges,
+        open_environment(cfg) as environment,
         trio.open_nursery() as nursery,
     ):
-        node = assemble(cfg, edges)
+        node = assemble(cfg, environment)
         nursery.start_soon(run, node)
         await received.stop.wait()
         await stop(node)
--- a/src/ebonyvalve/process/demo.py
+++ b/src/ebonyvalve/process/demo.py
@@ -1,4 +1,4 @@
-"""A small mesh in one process on loopback, with toy targets and a little traffic."""
+"""A demo: a small mesh in one process on loopback, with toy targets and light traffic."""
 
 import collections
 import dataclasses
@@ -36,40 +36,44 @@
 KEYS = 40
 REQUEST_PAUSE_S = 0.02
 READY_S = 10.0
-TABLE_PERIOD_S = 2.0
+PRINT_PERIOD_S = 2.0
 # Below Linux's default for ip_local_port_range, above the ports of well-known services.
-LOWEST_PORT = 10_000
-HIGHEST_PORT = 32_000
+MIN_PORT = 10_000
+MAX_PORT = 32_000
 
-# Test libraries seed the module's generator, so that processes side by side draw the same ports.
-_draws = random.SystemRandom()
+# Test libraries seed the random module's own generator, with which parallel processes would draw
+# the same ports.
+_port_rng = random.SystemRandom()
 _picked_ports: set[int] = set()
 
 
 @dataclasses.dataclass(kw_only=True)
 class Mesh:
-    """The demo's nodes and targets, and what its caller saw."""
+    """The nodes and targets of the demo, and the results of its requests.
+
+    ``tokens`` holds the last one-time token by key, ``failures`` describes each wrong answer.
+    """
 
     nodes: list[daemon.Node]
     targets: list[toy.Toy]
     target_addresses: list[identity.Address]
     store: platform.Platform
     tokens: dict[str, str] = dataclasses.field(default_factory=dict)
-    wrong: list[str] = dataclasses.field(default_factory=list)
+    failures: list[str] = dataclasses.field(default_factory=list)
     answered: int = 0
 
 
 def pick_addresses(count: int) -> list[identity.Address]:
-    """Return loopback addresses with ports that are free at present, each one only once.
+    """Return loopback addresses with ports that are free now, never the same one twice.
 
-    They lie below the range from which the kernel takes the ports of outgoing connections, which
-    would else be in use before a process that starts slowly listens on its own.
+    The ports lie below the range from which the kernel takes those of outgoing connections. A port
+    in that range might be taken before a process that starts slowly listens on it.
 
-    :param count: how many.
+    :param count: number of addresses.
     """
     picked: list[identity.Address] = []
     while len(picked) < count:
-        port = _draws.randrange(LOWEST_PORT, HIGHEST_PORT)
+        port = _port_rng.randrange(MIN_PORT, MAX_PORT)
         if port in _picked_ports:
             continue
         with socket.socket() as sock:
@@ -105,9 +109,9 @@
 def build_edges(
     control: channel.Channel, store: platform.Platform, rng: random.Random
 ) -> daemon.Edges:
-    """Return the outside world of nodes that share a process on loopback.
+    """Return real sockets and clock for nodes that share a process on loopback.
 
-    :param control: the channel that they share.
+    :param control: the control channel that they share.
     :param store: the platform.
     :param rng: their source of random numbers.
     """
@@ -125,13 +129,13 @@
 
 
 def build_mesh(control: channel.Channel) -> Mesh:
-    """Assemble the demo's mesh.
+    """Assemble the nodes and targets of the demo.
 
-    :param control: the channel that its nodes share, since they share the process.
+    :param control: the control channel that the nodes share.
     """
     store = platform.open_memory(platform.Memory())
-    edges = build_edges(control, store, random.Random())
-    nodes = [daemon.assemble(build_settings(index), edges) for index in range(NODES)]
+    environment = build_edges(control, store, random.Random())
+    nodes = [daemon.assemble(build_settings(index), environment) for index in range(NODES)]
     return Mesh(
         nodes=nodes,
         targets=[
@@ -152,9 +156,9 @@
 
 
 async def run(seconds: float | None) -> int:
-    """Run the demo; return 0 when every request had the right answer.
+    """Run the demo; return 0 if requests were answered and every answer was right, else 1.
 
-    :param seconds: how long to run; ``None`` until interrupted.
+    :param seconds: how long to run; ``None`` to run until cancelled.
     """
     async with channel.open_channel() as control:
         mesh = build_mesh(control)
@@ -174,10 +178,10 @@
                 print(f"try: curl -i http://{first}/{SERVICE}/salle-1/slots", flush=True)
                 nursery.start_soon(_print_forever, mesh)
                 await _call_forever(mesh)
-    print(f"{mesh.answered} requests answered, {len(mesh.wrong)} wrong", flush=True)
-    for line in mesh.wrong[:10]:
+    print(f"{mesh.answered} requests answered, {len(mesh.failures)} wrong", flush=True)
+    for line in mesh.failures[:10]:
         print(line, file=sys.stderr)
-    return 0 if mesh.answered and not mesh.wrong else 1
+    return 0 if mesh.answered and not mesh.failures else 1
 
 
 async def publish_objects(
@@ -188,8 +192,9 @@
     :param store: the platform.
     :param entries: the objects.
     :param clock: the timer service.
+    :raises errors.InvariantError: if the configuration is refused.
     """
-    order = publish.PublishRequest(
+    request = publish.PublishRequest(
         body=objects.encode_body(objects.ObjectSet(objects=entries)),
         base=identity.ConfigVersion(0),
         author="demo",
@@ -197,7 +202,7 @@
         at="2026-01-01T00:00:00Z",
         publication="demo",
     )
-    published = await publish.publish(store, order, clock)
+    published = await publish.publish(store, request, clock)
     if published.state is not publish.State.ACCEPTED:
         raise errors.InvariantError(f"the demo's configuration was not accepted: {published.cause}")
 
@@ -235,9 +240,9 @@
     while True:
         state = mesh.nodes[0].here.read_node()
         owned = collections.Counter(lease.find_owner(state, shard) for shard in state.routes)
-        cells = " ".join(f"{node}:{count}" for node, count in sorted(owned.items(), key=str))
-        print(f"term {state.term}, shards by owner: {cells}; {mesh.answered} answered", flush=True)
-        await trio.sleep(TABLE_PERIOD_S)
+        counts = " ".join(f"{node}:{count}" for node, count in sorted(owned.items(), key=str))
+        print(f"term {state.term}, shards by owner: {counts}; {mesh.answered} answered", flush=True)
+        await trio.sleep(PRINT_PERIOD_S)
 
 
 async def _call_forever(mesh: Mesh) -> None:
@@ -253,24 +258,28 @@
             answer = await call(address, "POST", path, b"me", token=mesh.tokens[key])
         else:
             answer = await call(address, "GET", f"/{SERVICE}/{key}/slots", b"")
-        _judge(mesh, key, expected[key], answer)
+        _check_answer(mesh, key, expected[key], answer)
         await trio.sleep(REQUEST_PAUSE_S)
 
 
-def _judge(mesh: Mesh, key: str, count: int, answer: tuple[int, dict[str, str], bytes]) -> None:
+def _check_answer(
+    mesh: Mesh, key: str, count: int, answer: tuple[int, dict[str, str], bytes]
+) -> None:
     status, headers, body = answer
     if "ebonyvalve-token" in headers:
         mesh.tokens[key] = headers["ebonyvalve-token"]
     if status == 200 and json.loads(body)["count"] == count:
         mesh.answered += 1
     else:
-        mesh.wrong.append(f"{key}: expected count {count}, got {status} {headers} {body!r}")
+        mesh.failures.append(f"{key}: expected count {count}, got {status} {headers} {body!r}")
 
 
 async def call(
     address: identity.Address, method: str, path: str, body: bytes, *, token: str | None = None
 ) -> tuple[int, dict[str, str], bytes]:
-    """Make one HTTP request on a connection of its own; status 0 means that no answer came.
+    """Make one HTTP request on a new connection; return status, headers and body of the answer.
+
+    Status 0 means that no complete answer came.
 
     :param address: where the node serves callers.
     :param method: the HTTP method.
@@ -290,7 +299,7 @@
 
 
 async def read_answer(conn: wire.Wire) -> tuple[int, dict[str, str], bytes]:
-    """Return status, headers and body; status 0 if the answer did not come to its end.
+    """Return status, headers and body of an answer; status 0 if it is incomplete.
 
     :param conn: the client's side of a connection on which a request was sent.
     """
--- a/src/ebonyvalve/process/http.py
+++ b/src/ebonyvalve/process/http.py
@@ -1,6 +1,7 @@
-"""Small HTTP/1.1 requests with whole bodies, for operators, targets and the platform stand-in.
+"""HTTP/1.1 server and client for small messages, whose bodies are held in memory.
 
-Requests of callers stream and use ``connection.wire`` instead.
+Operators, targets and the platform stand-in use them. Requests of callers are streamed and use
+``connection.wire`` instead.
 """
 
 import collections.abc
@@ -18,17 +19,17 @@
 
 READ_BYTES = 65_536
 MAX_BODY_BYTES = 16 * 1024 * 1024
-# Also of informational answers before the real one.
+# Also bounds the informational responses before the final one.
 MAX_HEAD_BYTES = 65_536
-# A read may bring thousands of tiny pieces; other tasks run between so many of them.
-EVENTS_PER_TURN = 32
+# One read may bring thousands of tiny chunks. A checkpoint after this many lets other tasks run.
+EVENTS_PER_CHECKPOINT = 32
 IDLE_TIMEOUT_S = 60.0
-# Answers to these have no body, or end HTTP on the connection.
-UNSERVED = (b"HEAD", b"CONNECT")
+# A response to HEAD has no body, and one to CONNECT ends HTTP on the connection.
+UNSUPPORTED_METHODS = (b"HEAD", b"CONNECT")
 
 
 class HttpFailure(enum.Enum):
-    """Why a request got no answer."""
+    """Why a request got no response."""
 
     UNREACHABLE = "unreachable"
     TIMEOUT = "timeout"
@@ -37,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """A request with its whole body."""
+    """A request with its complete body."""
 
     method: str
     path: str
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """An answer with its whole body."""
+    """A response with its complete body."""
 
     status: int
     body: bytes = b""
@@ -60,17 +61,19 @@
 async def serve(
     respond: Respond, stream: trio.abc.Stream, *, most_bytes: int = MAX_BODY_BYTES
 ) -> None:
-    """Serve one connection. ``None`` from ``respond`` closes it without an answer.
+    """Serve one connection until it ends, or until a request takes over :data:`IDLE_TIMEOUT_S`.
 
-    :param respond: answers a request.
+    The time of a request includes the wait for it.
+
+    :param respond: returns the reply to a request; ``None`` closes the connection without one.
     :param stream: the accepted connection.
-    :param most_bytes: the largest body that is read.
+    :param most_bytes: maximum length of the body in bytes.
     """
-    http = h11.Connection(h11.SERVER)
+    protocol = h11.Connection(h11.SERVER)
     try:
         while True:
             with trio.move_on_after(IDLE_TIMEOUT_S):
-                if await _serve_one(respond, stream, http, most_bytes):
+                if await _serve_request(respond, stream, protocol, most_bytes):
                     continue
             return
     except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -79,56 +82,56 @@
         await trio.aclose_forcefully(stream)
 
 
-async def _serve_one(
-    respond: Respond, stream: trio.abc.Stream, http: h11.Connection, most_bytes: int
+async def _serve_request(
+    respond: Respond, stream: trio.abc.Stream, protocol: h11.Connection, max_bytes: int
 ) -> bool:
     try:
-        head, body = await receive_message(stream, http, most_bytes=most_bytes)
+        head, body = await receive_message(stream, protocol, most_bytes=max_bytes)
     except h11.RemoteProtocolError as exc:
-        if http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await _send(stream, http, Reply(status=exc.error_status_hint, body=b"{}"))
+        if protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            await _send(stream, protocol, Reply(status=exc.error_status_hint, body=b"{}"))
         return False
     if not isinstance(head, h11.Request):
         return False
-    if head.method in UNSERVED:
-        await _send(stream, http, Reply(status=405), is_last=True)
+    if head.method in UNSUPPORTED_METHODS:
+        await _send(stream, protocol, Reply(status=405), is_last=True)
         return False
     request = Request(method=head.method.decode(), path=head.target.decode(), body=body)
     reply = await respond(request)
     if reply is None:
         return False
-    await _send(stream, http, reply)
-    if http.our_state is not h11.DONE or http.their_state is not h11.DONE:
+    await _send(stream, protocol, reply)
+    if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
         return False
-    http.start_next_cycle()
+    protocol.start_next_cycle()
     return True
 
 
 async def _send(
-    stream: trio.abc.Stream, http: h11.Connection, reply: Reply, *, is_last: bool = False
+    stream: trio.abc.Stream, protocol: h11.Connection, reply: Reply, *, is_last: bool = False
 ) -> None:
     headers = [("content-type", reply.content_type), ("content-length", str(len(reply.body)))]
     if is_last:
         headers.append(("connection", "close"))
     head = h11.Response(status_code=reply.status, headers=headers)
-    await send_message(stream, http, head, reply.body)
+    await send_message(stream, protocol, head, reply.body)
 
 
 async def send_message(
     stream: trio.abc.Stream,
-    http: h11.Connection,
+    protocol: h11.Connection,
     head: h11.Request | h11.Response,
     body: bytes,
 ) -> None:
-    """Write a whole message in one call of the stream.
+    """Send a complete message in one write.
 
     :param stream: the connection.
     :param http: its protocol state.
-    :param head: the head; it states the body's length.
-    :param body: the whole body.
+    :param head: the head, which states the length of the body.
+    :param body: the complete body.
     """
     events = [head, h11.Data(data=body), h11.EndOfMessage()]
-    await stream.send_all(b"".join(http.send(event) or b"" for event in events))
+    await stream.send_all(b"".join(protocol.send(event) or b"" for event in events))
 
 
 async def fetch(
@@ -139,13 +142,13 @@
     timeout_s: float,
     most_bytes: int = MAX_BODY_BYTES,
 ) -> result.Result[Reply, HttpFailure]:
-    """Make one request on a connection of its own.
+    """Make one request on a new connection.
 
     :param connect: opens a connection.
     :param address: ``IP:port`` of the server.
-    :param request: what to send.
-    :param timeout_s: seconds until the answer must be complete.
-    :param most_bytes: the largest body that is read.
+    :param request: the request to send.
+    :param timeout_s: seconds within which the response must be complete.
+    :param most_bytes: maximum length of the body in bytes.
     """
     with trio.move_on_after(timeout_s):
         try:
@@ -162,26 +165,26 @@
 
 
 async def _exchange(
-    stream: trio.abc.Stream, address: str, request: Request, most_bytes: int
+    stream: trio.abc.Stream, address: str, request: Request, max_bytes: int
 ) -> result.Result[Reply, HttpFailure]:
-    http = h11.Connection(h11.CLIENT)
+    protocol = h11.Connection(h11.CLIENT)
     headers = [("host", address), ("content-length", str(len(request.body))), *request.headers]
     head_sent = h11.Request(method=request.method, target=request.path, headers=headers)
-    await send_message(stream, http, head_sent, request.body)
-    head, body = await receive_message(stream, http, most_bytes=most_bytes)
+    await send_message(stream, protocol, head_sent, request.body)
+    head, body = await receive_message(stream, protocol, most_bytes=max_bytes)
     if not isinstance(head, h11.Response):
         return result.Failure(HttpFailure.BROKEN)
     return result.Success(Reply(status=head.status_code, body=body))
 
 
 async def receive_message(
-    stream: trio.abc.Stream, http: h11.Connection, *, most_bytes: int = MAX_BODY_BYTES
+    stream: trio.abc.Stream, protocol: h11.Connection, *, most_bytes: int = MAX_BODY_BYTES
 ) -> tuple[h11.Request | h11.Response | None, bytes]:
-    """Read a whole message; the head is ``None`` if the connection ended before it.
+    """Read a complete message; the head is ``None`` if the connection ended before it.
 
     :param stream: the connection.
     :param http: its protocol state.
-    :param most_bytes: the largest body that is read.
+    :param most_bytes: maximum length of the body in bytes.
     :raises h11.RemoteProtocolError: if the message is malformed, cut off or too large.
     """
     head: h11.Request | h11.Response | None = None
@@ -190,17 +193,17 @@
     events = 0
     while True:
         events += 1
-        if events % EVENTS_PER_TURN == 0:
+        if events % EVENTS_PER_CHECKPOINT == 0:
             await trio.lowlevel.checkpoint()
-        event = http.next_event()
+        event = protocol.next_event()
         if event is h11.NEED_DATA:
-            # What frames the body in chunks may be many times as long as the body.
-            most = MAX_HEAD_BYTES if head is None else MAX_HEAD_BYTES + 2 * most_bytes
-            if received > most:
+            # The framing of a chunked body may be many times as long as the body.
+            max_received = MAX_HEAD_BYTES if head is None else MAX_HEAD_BYTES + 2 * most_bytes
+            if received > max_received:
                 raise h11.RemoteProtocolError("message too large", error_status_hint=413)
             data = bytes(await stream.receive_some(READ_BYTES))
             received += len(data)
-            http.receive_data(data)
+            protocol.receive_data(data)
         elif isinstance(event, h11.Request | h11.Response):
             head = event
         elif isinstance(event, h11.Data):
--- a/src/ebonyvalve/standin/metadata.py
+++ b/src/ebonyvalve/standin/metadata.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store in memory, with the faults that its protocol allows."""
+"""An in-memory stand-in of the platform's metadata store, with the faults that may occur."""
 
 import base64
 import collections
@@ -14,27 +14,29 @@
 
 RowKey = tuple[str, str, str]
 PAGE_ROWS = 500
-MOST_ENTRIES = 100
+MAX_ENTRIES = 100
 
 
 class Fault(enum.Enum):
-    """What the store does with the next calls."""
+    """How the store handles calls."""
 
     NONE = "none"
-    # Says that nothing was done.
+    # Refuses the call with status 503, which says that it was not executed.
     BUSY = "busy"
+    # Refuses the call with status 429, in the same way.
     LIMIT = "limit"
     # Does nothing and never answers.
     SILENT = "silent"
-    # Does what was asked and never answers.
+    # Executes the call and closes the connection without an answer.
     LOST = "lost"
-    # Does what was asked after ``late_s``, if its condition still holds, and never answers.
+    # Executes the call ``late_s`` later, when its conditions are checked, and closes the connection
+    # without an answer.
     LATE = "late"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Entry:
-    """A row with its version. ``value`` is ``None`` for one that was removed."""
+    """A row with its version. ``value`` is ``None`` for a removed row."""
 
     value: bytes | None
     version: int
@@ -44,7 +46,9 @@
 class Metadata:
     """The state of the store.
 
-    ``faults`` says for each caller what happens to its calls; ``""`` stands for all others.
+    ``delay_s`` is the delay of every call in seconds. ``log`` holds version and key of every write
+    since version ``oldest``. ``faults`` holds the fault for each caller; ``""`` stands for all
+    callers that are not named.
     """
 
     now: collections.abc.Callable[[], float]
@@ -57,18 +61,18 @@
     faults: dict[str, Fault] = dataclasses.field(default_factory=dict)
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
     calls: int = 0
-    # Calls by path and table.
+    # Number of calls by path and table.
     asked: collections.Counter[tuple[str, str]] = dataclasses.field(
         default_factory=collections.Counter
     )
-    # Bytes of answers by path and table.
+    # Bytes of the answers by path and table.
     told: collections.Counter[tuple[str, str]] = dataclasses.field(
         default_factory=collections.Counter
     )
 
 
 class WirePlace(msgspec.Struct, kw_only=True):
-    """A row in a transaction."""
+    """A row in a transaction: its place, with a version in conditions and a value in writes."""
 
     table: str
     key: str
@@ -87,7 +91,7 @@
 
 
 def put(state: Metadata, table: str, key: str, value: bytes | None) -> None:
-    """Write a row as the operator does.
+    """Write a row directly, as the platform's operator does.
 
     :param state: the store.
     :param table: its table.
@@ -96,11 +100,11 @@
     """
     state.version += 1
     _write(state, (table, "", key), value)
-    _announce(state)
+    _notify_changed(state)
 
 
 def compact(state: Metadata) -> None:
-    """Discard the history.
+    """Discard the history, so that feeds from earlier versions fail.
 
     :param state: the store.
     """
@@ -109,16 +113,16 @@
 
 
 def build_respond(state: Metadata, caller: str) -> http.Respond:
-    """Return what answers the HTTP calls of one caller; ``None`` closes the connection.
+    """Return a function that answers the HTTP calls of one caller.
 
     :param state: the store.
-    :param caller: who calls.
+    :param caller: name of the caller, for :attr:`Metadata.faults`.
     """
 
     async def respond(request: http.Request) -> http.Reply | None:
         state.calls += 1
-        kind = _find_kind(request)
-        state.asked[kind] += 1
+        path_and_table = _find_path_and_table(request)
+        state.asked[path_and_table] += 1
         fault = state.faults.get(caller, state.faults.get("", Fault.NONE))
         await trio.sleep(state.delay_s)
         if fault is Fault.BUSY:
@@ -130,9 +134,9 @@
         if fault is Fault.LATE:
             await trio.sleep(state.late_s)
         path, _, query = request.path.partition("?")
-        asked = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
-        reply = await _answer(state, request.method, path, asked, request.body)
-        state.told[kind] += len(reply.body)
+        parameters = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
+        reply = await _answer(state, request.method, path, parameters, request.body)
+        state.told[path_and_table] += len(reply.body)
         if fault in (Fault.LOST, Fault.LATE):
             return None
         return reply
@@ -140,80 +144,82 @@
     return respond
 
 
-def _find_kind(request: http.Request) -> tuple[str, str]:
-    """Return path and table of a call; a transaction counts for the table that it writes first."""
+def _find_path_and_table(request: http.Request) -> tuple[str, str]:
+    """Return path and table of a call; for a transaction, the table of its first write."""
     path, _, query = request.path.partition("?")
     if path != "/rows-tx":
         return path, dict(urllib.parse.parse_qsl(query)).get("table", "")
-    asked = msgspec.json.decode(request.body, type=WireTransaction)
-    written = [*asked.puts, *asked.remove]
+    transaction = msgspec.json.decode(request.body, type=WireTransaction)
+    written = [*transaction.puts, *transaction.remove]
     return path, written[0].table if written else ""
 
 
 async def _answer(
-    state: Metadata, method: str, path: str, asked: dict[str, str], body: bytes
+    state: Metadata, method: str, path: str, parameters: dict[str, str], body: bytes
 ) -> http.Reply:
     if (method, path) == ("POST", "/rows-tx"):
         return _transact(state, msgspec.json.decode(body, type=WireTransaction))
     if (method, path) == ("GET", "/rows-get"):
-        return _get(state, asked)
+        return _get(state, parameters)
     if (method, path) == ("GET", "/rows-feed"):
-        return await _feed(state, asked)
+        return await _feed(state, parameters)
     return http.Reply(status=404, body=b"{}")
 
 
-def _transact(state: Metadata, asked: WireTransaction) -> http.Reply:
-    everything = [*asked.precondition, *asked.puts, *asked.remove]
-    parts = {place.part for place in everything}
-    if len(everything) > MOST_ENTRIES or (len(parts) > 1 and not asked.across):
+def _transact(state: Metadata, transaction: WireTransaction) -> http.Reply:
+    entries = [*transaction.precondition, *transaction.puts, *transaction.remove]
+    parts = {place.part for place in entries}
+    if len(entries) > MAX_ENTRIES or (len(parts) > 1 and not transaction.across):
         return http.Reply(status=400, body=b"{}")
-    if any(place.table in ("op", "servers") for place in [*asked.puts, *asked.remove]):
+    if any(place.table in ("op", "servers") for place in [*transaction.puts, *transaction.remove]):
         return http.Reply(status=403, body=b"{}")
-    for place in asked.precondition:
-        if _read_version(state, _name(place)) != place.ver:
-            rows = [_spell(state, _name(other)) for other in asked.precondition]
+    for place in transaction.precondition:
+        if _read_version(state, _build_row_key(place)) != place.ver:
+            rows = [_encode_row(state, _build_row_key(other)) for other in transaction.precondition]
             return _reply(state, 412, rows)
     state.version += 1
-    for place in asked.puts:
-        _write(state, _name(place), base64.b64decode(place.value))
-    for place in asked.remove:
-        _write(state, _name(place), None)
-    _announce(state)
+    for place in transaction.puts:
+        _write(state, _build_row_key(place), base64.b64decode(place.value))
+    for place in transaction.remove:
+        _write(state, _build_row_key(place), None)
+    _notify_changed(state)
     return _reply(state, 200, [])
 
 
-def _get(state: Metadata, asked: dict[str, str]) -> http.Reply:
-    table, part = asked["table"], asked.get("part", "")
-    limit = min(int(asked.get("limit", PAGE_ROWS)), PAGE_ROWS)
+def _get(state: Metadata, parameters: dict[str, str]) -> http.Reply:
+    table, part = parameters["table"], parameters.get("part", "")
+    limit = min(int(parameters.get("limit", PAGE_ROWS)), PAGE_ROWS)
     names = sorted(
         name
         for name, entry in state.rows.items()
         if name[:2] == (table, part)
         and entry.value is not None
-        and asked.get("from", "") <= name[2]
-        and ("to" not in asked or name[2] < asked["to"])
+        and parameters.get("from", "") <= name[2]
+        and ("to" not in parameters or name[2] < parameters["to"])
     )
-    rows = [_spell(state, name) for name in names[:limit]]
+    rows = [_encode_row(state, name) for name in names[:limit]]
     return _reply(state, 200, rows, has_more=len(names) > limit)
 
 
-async def _feed(state: Metadata, asked: dict[str, str]) -> http.Reply:
-    table, after = asked["table"], int(asked["after"])
-    with trio.move_on_after(int(asked.get("wait_ms", 0)) / 1000):
+async def _feed(state: Metadata, parameters: dict[str, str]) -> http.Reply:
+    table, after = parameters["table"], int(parameters["after"])
+    with trio.move_on_after(int(parameters.get("wait_ms", 0)) / 1000):
         while after >= state.oldest and not _list_changed(state, table, after):
             await state.changed.wait()
     if after < state.oldest:
         return _reply(state, 410, [])
     names = _list_changed(state, table, after)
-    return _reply(state, 200, [_spell(state, name) for name in names])
+    return _reply(state, 200, [_encode_row(state, name) for name in names])
 
 
 def _list_changed(state: Metadata, table: str, after: int) -> list[RowKey]:
-    newest = {name: version for version, name in state.log if version > after and name[0] == table}
-    return sorted(newest, key=lambda name: (newest[name], name))
+    latest_versions = {
+        name: version for version, name in state.log if version > after and name[0] == table
+    }
+    return sorted(latest_versions, key=lambda name: (latest_versions[name], name))
 
 
-def _name(place: WirePlace) -> RowKey:
+def _build_row_key(place: WirePlace) -> RowKey:
     return place.table, place.part, place.key
 
 
@@ -227,20 +233,20 @@
     state.log.append((state.version, name))
 
 
-def _announce(state: Metadata) -> None:
+def _notify_changed(state: Metadata) -> None:
     state.changed.set()
     state.changed = trio.Event()
 
 
-def _spell(state: Metadata, name: RowKey) -> dict[str, object]:
+def _encode_row(state: Metadata, name: RowKey) -> dict[str, object]:
     table, part, key = name
     entry = state.rows.get(name)
     if entry is None:
         return {"table": table, "part": part, "key": key, "ver": 0}
-    spelled: dict[str, object] = {"table": table, "part": part, "key": key, "ver": entry.version}
+    row: dict[str, object] = {"table": table, "part": part, "key": key, "ver": entry.version}
     if entry.value is None:
-        return {**spelled, "removed": True}
-    return {**spelled, "value": base64.b64encode(entry.value).decode()}
+        return {**row, "removed": True}
+    return {**row, "value": base64.b64encode(entry.value).decode()}
 
 
 def _reply(
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -1,4 +1,4 @@
-"""A target of the platform: takes fenced grants by its reports and runs requests."""
+"""A stand-in of a platform target, which gets fenced grants in reply to its status reports."""
 
 import collections.abc
 import dataclasses
@@ -17,10 +17,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Target:
-    """A target with what it holds.
-
-    ``reached`` lists the ids of requests that came, ``budgets_ms`` the time budgets that they came
-    with, ``ran`` the ids of those that it has run.
+    """The state of a target.
+
+    ``holds`` lists the granted ranges of key slots as first, last and fencing token, which are
+    valid until the time ``until`` in seconds; ``released`` lists those to report as released.
+    ``reached`` lists the ids of the requests received, ``budgets_ms`` their remaining time in
+    milliseconds, and ``ran`` the ids of the requests completed. ``callers`` lists the
+    services that called, and ``dropped`` counts the requests dropped because their connection
+    closed.
     """
 
     name: str
@@ -57,23 +61,23 @@
             head, body = await http.receive_message(stream, protocol)
             if not isinstance(head, h11.Request):
                 return
-            answer = await _run_watched(target, stream, head, body)
+            answer = await _run_unless_closed(target, stream, head, body)
             if answer is None:
                 return
             reply, content = answer
             await http.send_message(stream, protocol, reply, content)
             protocol.start_next_cycle()
     except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
-        # The router has closed the connection or broken off the request.
+        # The router closed the connection or aborted the request.
         return
     finally:
         await trio.aclose_forcefully(stream)
 
 
-async def _run_watched(
+async def _run_unless_closed(
     target: Target, stream: trio.abc.Stream, head: h11.Request, body: bytes
 ) -> tuple[h11.Response, bytes] | None:
-    """Run a request, or drop it when its connection closes."""
+    """Run a request; return ``None`` if its connection closes before it ends."""
     answer: tuple[h11.Response, bytes] | None = None
     async with trio.open_nursery() as nursery:
 
@@ -92,13 +96,13 @@
 async def _run(target: Target, head: h11.Request, body: bytes) -> tuple[h11.Response, bytes]:
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     request_id = headers.get("x-attempt-id", "")
-    named = ("x-attempt-id", request_id)
+    id_header = ("x-attempt-id", request_id)
     target.reached.append(request_id)
     target.budgets_ms.append(int(headers.get("x-deadline-ms", "0")))
-    if headers.get("x-expect-instance") != target.name or not _holds(target, headers):
-        return _reply(MISDIRECTED, [named, ("x-not-executed", "1")], b"")
+    if headers.get("x-expect-instance") != target.name or not _may_run(target, headers):
+        return _reply(MISDIRECTED, [id_header, ("x-not-executed", "1")], b"")
     if target.running >= target.slots:
-        return _reply(FULL, [named, ("x-not-executed", "1")], b"")
+        return _reply(FULL, [id_header, ("x-not-executed", "1")], b"")
     target.running += 1
     try:
         await trio.sleep(target.work_s)
@@ -107,11 +111,11 @@
     target.ran.append(request_id)
     target.callers.append(headers.get("x-caller-service", ""))
     content = body or f"{target.name} {head.target.decode()}".encode()
-    sealed = [named, ("x-response-seal", "seal")]
-    return _reply(SERVED, sealed, content)
+    reply_headers = [id_header, ("x-response-seal", "seal")]
+    return _reply(SERVED, reply_headers, content)
 
 
-def _holds(target: Target, headers: dict[str, str]) -> bool:
+def _may_run(target: Target, headers: dict[str, str]) -> bool:
     if not target.is_keyed:
         return True
     slot = int(headers.get("x-shard-key", "-1"))
@@ -122,13 +126,13 @@
 def _reply(
     status: int, headers: collections.abc.Sequence[tuple[str, str]], body: bytes
 ) -> tuple[h11.Response, bytes]:
-    named = [*headers, ("content-length", str(len(body)))]
-    head = [(name.encode(), value.encode("latin-1")) for name, value in named]
+    all_headers = [*headers, ("content-length", str(len(body)))]
+    head = [(name.encode(), value.encode("latin-1")) for name, value in all_headers]
     return h11.Response(status_code=status, headers=head), body
 
 
 async def report(target: Target) -> None:
-    """Send status reports until cancelled.
+    """Send status reports periodically until cancelled.
 
     :param target: the target.
     """
@@ -139,7 +143,7 @@
         )
         is_pending = False
         if isinstance(reply, result.Success) and reply.unwrap().status == SERVED:
-            is_pending = _take(target, msgspec.json.decode(reply.unwrap().body), sent_at)
+            is_pending = _apply_reply(target, msgspec.json.decode(reply.unwrap().body), sent_at)
         await trio.sleep(0.1 if is_pending else target.heartbeat_s)
 
 
@@ -158,22 +162,23 @@
     )
 
 
-def _take(target: Target, answer: dict[str, object], sent_at: float) -> bool:
+def _apply_reply(target: Target, answer: dict[str, object], sent_at: float) -> bool:
+    """Apply the reply to a report; return whether it revoked ranges, which are now released."""
     target.released = []
     rows = answer.get("holds")
     if not isinstance(rows, list):
         return False
-    given = [(first, last, fence) for first, last, fence, _ in rows]
-    dropped = [row for row in target.holds if row not in given]
-    target.released = [(first, last, f"h{fence}") for first, last, fence in dropped]
-    target.holds = given
+    granted = [(first, last, fence) for first, last, fence, _ in rows]
+    revoked = [row for row in target.holds if row not in granted]
+    target.released = [(first, last, f"h{fence}") for first, last, fence in revoked]
+    target.holds = granted
     hold_s = answer.get("hold_s", 0.0)
     target.until = sent_at + (hold_s if isinstance(hold_s, float | int) else 0.0)
-    return bool(dropped)
+    return bool(revoked)
 
 
 def count_keys(target: Target) -> int:
-    """Return how many keys the target holds.
+    """Return the number of key slots that the target holds.
 
     :param target: the target.
     """
