--- a/bench/path.py
+++ b/bench/path.py
@@ -55,7 +55,7 @@
     :param share: share of the answered requests to log, 0 to 1.
     """
     store = platform.open_memory(platform.Memory())
-    edges = demo.build_edges(control, store, random.Random(1))
+    edges = demo.build_environment(control, store, random.Random(1))
     settings = [
         msgspec.structs.replace(demo.build_settings(index), log_answered_share=share)
         for index in range(NODES)
--- a/bench/world.py
+++ b/bench/world.py
@@ -441,7 +441,7 @@
             del world.listeners[address]
 
 
-def build_edges(world: World, node: identity.NodeId) -> daemon.Edges:
+def build_environment(world: World, node: identity.NodeId) -> daemon.Environment:
     """Return the network, the platform, the clock and the random numbers of one node.
 
     :param world: the mesh.
@@ -464,7 +464,7 @@
                 del world.handlers[address]
 
     listen_here = functools.partial(listen, world, node)
-    return daemon.Edges(
+    return daemon.Environment(
         connect_target=functools.partial(connect, world, node),
         connect_hop=functools.partial(connect, world, node),
         listen=listen_here,
@@ -540,7 +540,7 @@
     world.listeners[address] = (host.cfg.node, functools.partial(toy.serve, host.toy))
     if host.toy.state is toy.ToyState.DOWN:
         host.toy.state = toy.ToyState.UP
-    toy.chill(host.toy)
+    toy.make_cold(host.toy)
 
 
 async def start_node(world: World, host: Host) -> None:
@@ -550,7 +550,7 @@
     :param host: the VM.
     """
     host.incarnation += 1
-    node = daemon.assemble(host.cfg, build_edges(world, host.cfg.node))
+    node = daemon.assemble(host.cfg, build_environment(world, host.cfg.node))
     host.node = node
     _record_adoptions(world, node)
     scope = host.scope = trio.CancelScope()
--- a/src/ebonyvalve/platform/admin.py
+++ b/src/ebonyvalve/platform/admin.py
@@ -35,7 +35,7 @@
     """Explain how a request with a ``host``, a ``path`` and maybe a ``key`` would be routed."""
     params = dict(urllib.parse.parse_qsl(query))
     key = params.get("key", "")
-    key_slot = decoding.read_count(key, max_value=identity.LAST_SLOT)
+    key_slot = decoding.read_count(key, max_value=identity.LAST_KEY_SLOT)
     if not params.get("host") or not params.get("path") or (key and key_slot is None):
         return http.Reply(status=400, body=b"{}")
     lines = explanation.explain(entry, params["host"].lower(), params["path"], key_slot)
--- a/src/ebonyvalve/platform/dialect.py
+++ b/src/ebonyvalve/platform/dialect.py
@@ -140,7 +140,7 @@
         key_slot=(
             None
             if key_slot_header is None
-            else decoding.read_count(key_slot_header, max_value=identity.LAST_SLOT)
+            else decoding.read_count(key_slot_header, max_value=identity.LAST_KEY_SLOT)
         ),
     )
 
--- a/src/ebonyvalve/platform/reports.py
+++ b/src/ebonyvalve/platform/reports.py
@@ -32,7 +32,7 @@
             return apply_leave(reconciler, name)
         return http.Reply(status=404, body=b"{}")
 
-    return functools.partial(http.serve, respond, most_bytes=REPORT_BYTES)
+    return functools.partial(http.serve, respond, max_bytes=REPORT_BYTES)
 
 
 def apply_report(reconciler: records.Reconciler, name: str, body: bytes) -> http.Reply | None:
--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Edges:
+class Environment:
     """What a node uses of its environment: real sockets, clock and platform, or those of a test.
 
     ``connect_target`` opens connections to the target, ``connect_hop`` to other nodes. ``listen``
@@ -97,7 +97,7 @@
 
     cfg: settings.Settings
     timer: timer.Timer
-    environment: Edges
+    environment: Environment
     here: site.Site
     monitor: monitor.Monitor
     handler: handler.Handler
@@ -111,7 +111,7 @@
     placing: placement.State = dataclasses.field(default_factory=placement.State)
 
 
-def assemble(cfg: settings.Settings, environment: Edges) -> Node:
+def assemble(cfg: settings.Settings, environment: Environment) -> Node:
     """Build a node without starting it.
 
     :param cfg: its settings.
@@ -401,7 +401,7 @@
     front.stop(node.hop_front)
     with trio.move_on_after(STOP_GRACE_S):
         while node.here.flights:
-            await node.here.landed.wait()
+            await node.here.flights_ended.wait()
 
 
 async def _refresh_periodically(node: Node, owned: ownership.State) -> None:
@@ -411,7 +411,7 @@
     while True:
         now_s = await timer.tick(node.timer, subscription)
         telemetry.refresh(node.metrics, node.here, owned, elapsed_s=now_s - last_s)
-        for tokens in node.here.memories.values():
+        for tokens in node.here.token_memories.values():
             token_memory.forget(tokens, now_s)
         last_s = now_s
 
@@ -429,13 +429,13 @@
         now_s = timer.now(node.timer)
         await timer.wait_until(node.timer, now_s + period_s)
         quarantine.forget(node.here.quarantined, timer.now(node.timer))
-        p99_s = straggler.read_quantile(node.here.books[node.cfg.service], 0.99)
+        p99_s = straggler.read_quantile(node.here.latencies[node.cfg.service], 0.99)
         for connection_pool in pools:
             await pool.sweep(connection_pool, p99_s=p99_s)
 
 
 @contextlib.asynccontextmanager
-async def open_environment(cfg: settings.Settings) -> collections.abc.AsyncIterator[Edges]:
+async def open_environment(cfg: settings.Settings) -> collections.abc.AsyncIterator[Environment]:
     """Yield real sockets, a client of the platform and the boot clock.
 
     :param cfg: the daemon's settings.
@@ -446,7 +446,7 @@
         channel.open_channel(tls=client_tls) as control,
         remote.open_client(host=host, port=port, timeout_s=STORE_TIMEOUT_S) as store,
     ):
-        yield Edges(
+        yield Environment(
             connect_target=network.connect_tcp,
             connect_hop=connect,
             listen=network.listen_tcp,
--- a/src/ebonyvalve/process/decoding.py
+++ b/src/ebonyvalve/process/decoding.py
@@ -33,7 +33,7 @@
 MAX_PORT = 65_535
 
 Count = typing.Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
-KeySlot = typing.Annotated[int, msgspec.Meta(ge=0, le=identity.LAST_SLOT)]
+KeySlot = typing.Annotated[int, msgspec.Meta(ge=0, le=identity.LAST_KEY_SLOT)]
 Slots = typing.Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
 Seconds = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_SECONDS)]
 Load = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_LOAD)]
--- a/src/ebonyvalve/process/demo.py
+++ b/src/ebonyvalve/process/demo.py
@@ -106,16 +106,16 @@
     )
 
 
-def build_edges(
+def build_environment(
     control: channel.Channel, store: platform.Platform, rng: random.Random
-) -> daemon.Edges:
+) -> daemon.Environment:
     """Return real sockets and clock for nodes that share a process on loopback.
 
     :param control: the control channel that they share.
     :param store: the platform.
     :param rng: their source of random numbers.
     """
-    return daemon.Edges(
+    return daemon.Environment(
         connect_target=network.connect_tcp,
         connect_hop=network.connect_tcp,
         listen=network.listen_tcp,
@@ -134,7 +134,7 @@
     :param control: the control channel that the nodes share.
     """
     store = platform.open_memory(platform.Memory())
-    environment = build_edges(control, store, random.Random())
+    environment = build_environment(control, store, random.Random())
     nodes = [daemon.assemble(build_settings(index), environment) for index in range(NODES)]
     return Mesh(
         nodes=nodes,
--- a/src/ebonyvalve/process/handover.py
+++ b/src/ebonyvalve/process/handover.py
@@ -16,12 +16,12 @@
     :param clock: the timer service.
     :param shards: the shards; no new request of them may start.
     """
-    await site.wait_landed(here, shards)
-    ends = [here.doubts.pop(shard) for shard in shards if shard in here.doubts]
+    await site.wait_flights_ended(here, shards)
+    ends = [here.possible_runs.pop(shard) for shard in shards if shard in here.possible_runs]
     await timer.wait_until(clock, max(ends, default=0.0))
     moved = []
     for shard in shards:
-        found = here.memories.get(shard)
+        found = here.token_memories.get(shard)
         if found is not None and not found.is_closed:
             moved.append(token_memory.export_memory(found, here.now()))
     forget(here, shards)
@@ -67,7 +67,7 @@
     source_memory = site.find_memory(here, source.shard, source.fence, life_s=life_s)
     if key is not None and source.shard != recipient.shard:
         accounting.forget_key(here.account, source.shard, key)
-        here.memories[recipient.shard] = token_memory.split(
+        here.token_memories[recipient.shard] = token_memory.split(
             source_memory, key=key, shard=recipient.shard, fence=recipient.fence, now=here.now()
         )
         return
@@ -84,7 +84,7 @@
     :param shards: shards that the node no longer holds, or holds without their former memory.
     """
     for shard in shards:
-        found = here.memories.pop(shard, None)
+        found = here.token_memories.pop(shard, None)
         if found is not None:
             token_memory.drop(found)
         accounting.forget(here.account, shard)
--- a/src/ebonyvalve/process/http.py
+++ b/src/ebonyvalve/process/http.py
@@ -59,7 +59,7 @@
 
 
 async def serve(
-    respond: Respond, stream: trio.abc.Stream, *, most_bytes: int = MAX_BODY_BYTES
+    respond: Respond, stream: trio.abc.Stream, *, max_bytes: int = MAX_BODY_BYTES
 ) -> None:
     """Serve one connection until it ends, or until a request takes over :data:`IDLE_TIMEOUT_S`.
 
@@ -67,13 +67,13 @@
 
     :param respond: returns the reply to a request; ``None`` closes the connection without one.
     :param stream: the accepted connection.
-    :param most_bytes: maximum length of the body in bytes.
+    :param max_bytes: maximum length of the body in bytes.
     """
     protocol = h11.Connection(h11.SERVER)
     try:
         while True:
             with trio.move_on_after(IDLE_TIMEOUT_S):
-                if await _serve_request(respond, stream, protocol, most_bytes):
+                if await _serve_request(respond, stream, protocol, max_bytes):
                     continue
             return
     except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -86,7 +86,7 @@
     respond: Respond, stream: trio.abc.Stream, protocol: h11.Connection, max_bytes: int
 ) -> bool:
     try:
-        head, body = await receive_message(stream, protocol, most_bytes=max_bytes)
+        head, body = await receive_message(stream, protocol, max_bytes=max_bytes)
     except h11.RemoteProtocolError as exc:
         if protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             await _send(stream, protocol, Reply(status=exc.error_status_hint, body=b"{}"))
@@ -140,7 +140,7 @@
     request: Request,
     *,
     timeout_s: float,
-    most_bytes: int = MAX_BODY_BYTES,
+    max_bytes: int = MAX_BODY_BYTES,
 ) -> result.Result[Reply, HttpFailure]:
     """Make one request on a new connection.
 
@@ -148,7 +148,7 @@
     :param address: ``IP:port`` of the server.
     :param request: the request to send.
     :param timeout_s: seconds within which the response must be complete.
-    :param most_bytes: maximum length of the body in bytes.
+    :param max_bytes: maximum length of the body in bytes.
     """
     with trio.move_on_after(timeout_s):
         try:
@@ -156,7 +156,7 @@
         except (OSError, trio.BrokenResourceError):
             return result.Failure(HttpFailure.UNREACHABLE)
         try:
-            return await _exchange(stream, address, request, most_bytes)
+            return await _exchange(stream, address, request, max_bytes)
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError):
             return result.Failure(HttpFailure.BROKEN)
         finally:
@@ -171,20 +171,20 @@
     headers = [("host", address), ("content-length", str(len(request.body))), *request.headers]
     head_sent = h11.Request(method=request.method, target=request.path, headers=headers)
     await send_message(stream, protocol, head_sent, request.body)
-    head, body = await receive_message(stream, protocol, most_bytes=max_bytes)
+    head, body = await receive_message(stream, protocol, max_bytes=max_bytes)
     if not isinstance(head, h11.Response):
         return result.Failure(HttpFailure.BROKEN)
     return result.Success(Reply(status=head.status_code, body=body))
 
 
 async def receive_message(
-    stream: trio.abc.Stream, protocol: h11.Connection, *, most_bytes: int = MAX_BODY_BYTES
+    stream: trio.abc.Stream, protocol: h11.Connection, *, max_bytes: int = MAX_BODY_BYTES
 ) -> tuple[h11.Request | h11.Response | None, bytes]:
     """Read a complete message; the head is ``None`` if the connection ended before it.
 
     :param stream: the connection.
     :param http: its protocol state.
-    :param most_bytes: maximum length of the body in bytes.
+    :param max_bytes: maximum length of the body in bytes.
     :raises h11.RemoteProtocolError: if the message is malformed, cut off or too large.
     """
     head: h11.Request | h11.Response | None = None
@@ -198,7 +198,7 @@
         event = protocol.next_event()
         if event is h11.NEED_DATA:
             # The framing of a chunked body may be many times as long as the body.
-            max_received = MAX_HEAD_BYTES if head is None else MAX_HEAD_BYTES + 2 * most_bytes
+            max_received = MAX_HEAD_BYTES if head is None else MAX_HEAD_BYTES + 2 * max_bytes
             if received > max_received:
                 raise h11.RemoteProtocolError("message too large", error_status_hint=413)
             data = bytes(await stream.receive_some(READ_BYTES))
@@ -208,7 +208,7 @@
             head = event
         elif isinstance(event, h11.Data):
             body += event.data
-            if len(body) > most_bytes:
+            if len(body) > max_bytes:
                 raise h11.RemoteProtocolError("body too large", error_status_hint=413)
         elif isinstance(event, h11.EndOfMessage):
             return head, bytes(body)
--- a/src/ebonyvalve/process/identity.py
+++ b/src/ebonyvalve/process/identity.py
@@ -20,9 +20,9 @@
 Fingerprint = typing.NewType("Fingerprint", str)
 # One start of a target. A target that restarts under the same name has another lifetime.
 Lifetime = typing.NewType("Lifetime", str)
-# Where targets hold ranges of keys, a key is a number from 0 to LAST_SLOT.
+# Where targets hold ranges of keys, a key is a number from 0 to LAST_KEY_SLOT.
 KeySlot = typing.NewType("KeySlot", int)
-LAST_SLOT = KeySlot(65_535)
+LAST_KEY_SLOT = KeySlot(65_535)
 
 KEY_PREFIX = "key:"
 
--- a/src/ebonyvalve/process/keyspace/ledger.py
+++ b/src/ebonyvalve/process/keyspace/ledger.py
@@ -60,7 +60,7 @@
     :param candidates: the targets known so far.
     :param fence: at least the highest fence of any earlier ledger of the service.
     """
-    vacant = Span(first=0, last=identity.LAST_SLOT, fence=fence, node="", holder=NO_HOLDER)
+    vacant = Span(first=0, last=identity.LAST_KEY_SLOT, fence=fence, node="", holder=NO_HOLDER)
     return assign_vacant(Ledger(spans=(vacant,)), candidates)
 
 
@@ -103,7 +103,7 @@
         names = (span.node, span.holder, span.successor_node, span.successor)
         if not all(decoding.is_name(name) for name in names if name):
             return f"span {span.first} to {span.last} has an invalid name"
-    return "" if next_key > identity.LAST_SLOT else f"keys from {next_key} on are in no span"
+    return "" if next_key > identity.LAST_KEY_SLOT else f"keys from {next_key} on are in no span"
 
 
 def find_span(ledger: Ledger, key_slot: int) -> Span:
@@ -230,7 +230,7 @@
         holder = span.successor or span.holder
         if holder in key_counts:
             key_counts[identity.Lifetime(holder)] += span.last - span.first + 1
-    size = identity.LAST_SLOT + 1
+    size = identity.LAST_KEY_SLOT + 1
     return sorted(
         (
             (size * candidate.weight / total_weight - key_counts[candidate.lifetime], candidate)
--- a/src/ebonyvalve/process/keyspace/plan.py
+++ b/src/ebonyvalve/process/keyspace/plan.py
@@ -89,7 +89,7 @@
     largest = max(sizes, key=lambda name: (sizes[name], name))
     if not newcomers or largest != observation.own_lifetime or not sizes[largest]:
         return proposed
-    fair_size = (identity.LAST_SLOT + 1) // len(sizes)
+    fair_size = (identity.LAST_KEY_SLOT + 1) // len(sizes)
     wanted_size = min(fair_size, sizes[largest] // 2)
     largest_span = max(
         ledger.list_held(proposed, observation.own_lifetime),
--- a/src/ebonyvalve/process/monitor.py
+++ b/src/ebonyvalve/process/monitor.py
@@ -112,7 +112,7 @@
     was_up = target.is_up(here.target)
     if target.announce(here.target, entry, here.now()):
         # The previous target ended with the requests that it ran, even if no connection broke.
-        site.note_crash(here, here.now())
+        site.record_crash(here, here.now())
         if previous is not None:
             await monitor.drop_idle(previous)
         here.admission.slots = here.target.slots
@@ -129,14 +129,14 @@
         return False
     # The probe carries the grant end, so that a request that takes longer than a lease can still be
     # applied.
-    grant_header = ("ebonyvalve-grant-until-ms", str(site.tell_grant_end_ms(monitor.here)))
+    grant_header = ("ebonyvalve-grant-until-ms", str(site.update_grant_end_ms(monitor.here)))
     request = http.Request(method="GET", path=HEALTH_PATH, headers=(grant_header,))
     fetched = await http.fetch(
         monitor.connect,
         address,
         request,
         timeout_s=target.PROBE_TIMEOUT_S,
-        most_bytes=MAX_PROBE_BYTES,
+        max_bytes=MAX_PROBE_BYTES,
     )
     return isinstance(fetched, result.Success) and fetched.unwrap().status == 200
 
@@ -149,7 +149,7 @@
         site.wake_admitted(here, limit.resume(here.admission, now_s))
     else:
         limit.pause(here.admission)
-        site.note_crash(here, now_s)
+        site.record_crash(here, now_s)
         site.cancel_flights(here)
     decision.record(
         log,
--- a/src/ebonyvalve/process/push.py
+++ b/src/ebonyvalve/process/push.py
@@ -54,7 +54,7 @@
     connect: network.Connect, address: identity.Address, request: http.Request
 ) -> None:
     sent = await http.fetch(
-        connect, address, request, timeout_s=TIMEOUT_S, most_bytes=MAX_ANSWER_BYTES
+        connect, address, request, timeout_s=TIMEOUT_S, max_bytes=MAX_ANSWER_BYTES
     )
     if not isinstance(sent, result.Success):
         decision.record(
--- a/src/ebonyvalve/process/remote.py
+++ b/src/ebonyvalve/process/remote.py
@@ -157,7 +157,7 @@
             return
         try:
             respond = functools.partial(_respond, operations)
-            await http.serve(respond, stream, most_bytes=MAX_BODY_BYTES)
+            await http.serve(respond, stream, max_bytes=MAX_BODY_BYTES)
         finally:
             limiter.release()
 
@@ -386,7 +386,7 @@
         head = h11.Request(method="POST", target=path, headers=headers)
         await http.send_message(connection.stream, connection.protocol, head, data)
         response, body = await http.receive_message(
-            connection.stream, connection.protocol, most_bytes=MAX_BODY_BYTES
+            connection.stream, connection.protocol, max_bytes=MAX_BODY_BYTES
         )
         if not isinstance(response, h11.Response):
             raise trio.BrokenResourceError("connection closed before the reply")
--- a/src/ebonyvalve/process/site.py
+++ b/src/ebonyvalve/process/site.py
@@ -36,14 +36,14 @@
 class Site:
     """State of one node, shared by its requests. Times are in seconds on the clock of ``now``.
 
-    ``flights`` holds the requests that run at the local target, by shard. ``lost`` holds
-    the requests whose connection to it broke recently, each with the time. ``admitted``
-    holds an event for each request that waits for admission. ``books`` holds the latencies
+    ``flights`` holds the requests that run at the local target, by shard. ``lost_requests`` holds
+    the requests whose connection to it broke recently, each with the time. ``admission_events``
+    holds an event for each request that waits for admission. ``latencies`` holds the latencies
     per service, and ``in_flight`` the number of requests in flight per node.
 
-    Each of the events ``changed``, ``landed`` and ``started`` is replaced by a new one
+    Each of the events ``changed``, ``flights_ended`` and ``started`` is replaced by a new one
     when it is set. ``changed`` is set when ownership, members or the target's state change,
-    ``landed`` when the last request of a shard ends at the local target.
+    ``flights_ended`` when the last request of a shard ends at the local target.
     """
 
     node: identity.NodeId
@@ -55,7 +55,7 @@
     target: target.Target
     admission: limit.Target
     account: accounting.Account
-    books: dict[identity.ServiceId, straggler.ServiceLatencies] = dataclasses.field(
+    latencies: dict[identity.ServiceId, straggler.ServiceLatencies] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(straggler.ServiceLatencies)
     )
     in_flight: collections.Counter[identity.NodeId] = dataclasses.field(
@@ -69,16 +69,20 @@
     )
     quarantined: quarantine.Quarantine = dataclasses.field(default_factory=quarantine.Quarantine)
     quota: token_memory.Quota = dataclasses.field(default_factory=token_memory.Quota)
-    memories: dict[identity.ShardId, token_memory.Memory] = dataclasses.field(default_factory=dict)
+    token_memories: dict[identity.ShardId, token_memory.Memory] = dataclasses.field(
+        default_factory=dict
+    )
     flights: dict[identity.ShardId, list[Flight]] = dataclasses.field(default_factory=dict)
-    lost: list[tuple[float, identity.Fingerprint]] = dataclasses.field(default_factory=list)
+    lost_requests: list[tuple[float, identity.Fingerprint]] = dataclasses.field(
+        default_factory=list
+    )
     # The latest grant end sent to the target, in seconds.
-    told_until_s: float = 0.0
+    sent_grant_end_s: float = 0.0
     # By shard, until when the target may still run a request whose connection ended unanswered.
-    doubts: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
-    admitted: dict[limit.Ticket, trio.Event] = dataclasses.field(default_factory=dict)
+    possible_runs: dict[identity.ShardId, float] = dataclasses.field(default_factory=dict)
+    admission_events: dict[limit.Ticket, trio.Event] = dataclasses.field(default_factory=dict)
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
-    landed: trio.Event = dataclasses.field(default_factory=trio.Event)
+    flights_ended: trio.Event = dataclasses.field(default_factory=trio.Event)
     # Set when a request starts at the local target while none is in flight there.
     started: trio.Event = dataclasses.field(default_factory=trio.Event)
     is_stopping: bool = False
@@ -124,12 +128,12 @@
     :param fence: the fencing token under which the node holds the shard.
     :param life_s: seconds for which a token is valid.
     """
-    memory = site.memories.get(shard)
+    memory = site.token_memories.get(shard)
     if memory is None or memory.is_closed or memory.fence != fence:
         if memory is not None and not memory.is_closed:
             token_memory.drop(memory)
         memory = token_memory.create(shard=shard, fence=fence, life_s=life_s, quota=site.quota)
-        site.memories[shard] = memory
+        site.token_memories[shard] = memory
     return memory
 
 
@@ -160,18 +164,20 @@
     site.in_flight[site.node] -= 1
     if not flights:
         del site.flights[flight.shard]
-        site.landed.set()
-        site.landed = trio.Event()
+        site.flights_ended.set()
+        site.flights_ended = trio.Event()
 
 
-async def wait_landed(site: Site, shards: collections.abc.Collection[identity.ShardId]) -> None:
+async def wait_flights_ended(
+    site: Site, shards: collections.abc.Collection[identity.ShardId]
+) -> None:
     """Wait until no request of the shards runs at the local target.
 
     :param site: the node's state.
     :param shards: the shards; the caller starts no new requests for them.
     """
     while any(shard in site.flights for shard in shards):
-        await site.landed.wait()
+        await site.flights_ended.wait()
 
 
 def cancel_flights(
@@ -193,7 +199,7 @@
     return len(chosen)
 
 
-def note_crash(site: Site, now_s: float) -> int:
+def record_crash(site: Site, now_s: float) -> int:
     """Quarantine the requests that the target ran when it crashed; return their number.
 
     Requests whose connection broke in the last :data:`LOST_REQUEST_RETENTION_S` seconds count too.
@@ -202,21 +208,25 @@
     :param now_s: the time in seconds.
     """
     fingerprints = [flight.fingerprint for flights in site.flights.values() for flight in flights]
-    fingerprints += [name for at_s, name in site.lost if now_s - at_s <= LOST_REQUEST_RETENTION_S]
-    site.lost.clear()
+    fingerprints += [
+        name for at_s, name in site.lost_requests if now_s - at_s <= LOST_REQUEST_RETENTION_S
+    ]
+    site.lost_requests.clear()
     quarantine.record_crash(site.quarantined, fingerprints, now_s)
     return len(fingerprints)
 
 
-def note_lost(site: Site, fingerprint: identity.Fingerprint, now_s: float) -> None:
+def record_lost_request(site: Site, fingerprint: identity.Fingerprint, now_s: float) -> None:
     """Record a request whose connection to the local target broke.
 
     :param site: the node's state.
     :param fingerprint: the fingerprint of the request.
     :param now_s: the time in seconds.
     """
-    site.lost = [entry for entry in site.lost if now_s - entry[0] <= LOST_REQUEST_RETENTION_S]
-    site.lost.append((now_s, fingerprint))
+    site.lost_requests = [
+        entry for entry in site.lost_requests if now_s - entry[0] <= LOST_REQUEST_RETENTION_S
+    ]
+    site.lost_requests.append((now_s, fingerprint))
 
 
 def wake_admitted(site: Site, woken: limit.Dequeued) -> None:
@@ -226,12 +236,12 @@
     :param woken: the tickets, from :mod:`limit`.
     """
     for ticket in (*woken.run, *woken.expired):
-        event = site.admitted.pop(ticket, None)
+        event = site.admission_events.pop(ticket, None)
         if event is not None:
             event.set()
 
 
-def tell_grant_end_ms(site: Site) -> int:
+def update_grant_end_ms(site: Site) -> int:
     """Return the grant end for the next request or probe, in milliseconds, and record it as sent.
 
     The grant end is the time until which the target may serve, on the clock of the VM, which node
@@ -250,16 +260,16 @@
         site.target.unanswered_since_s = site.target.last_reply_s
     unanswered_since_s = target.record_sent(site.target, now_s)
     end_s = min(site.read_node().lease_end_s, unanswered_since_s + lease.LEASE_S)
-    site.told_until_s = max(site.told_until_s, end_s)
+    site.sent_grant_end_s = max(site.sent_grant_end_s, end_s)
     # The lease end is minus infinity before the first lease.
     return int(max(end_s, 0.0) * 1000)
 
 
-def note_doubt(site: Site, shard: identity.ShardId, until_s: float) -> None:
+def record_possible_run(site: Site, shard: identity.ShardId, until_s: float) -> None:
     """Record that the target may still run a request whose connection has ended.
 
     :param site: the node's state.
     :param shard: the shard of the request.
     :param until_s: the time in seconds after which it cannot run: its deadline or the grant end.
     """
-    site.doubts[shard] = max(site.doubts.get(shard, until_s), until_s)
+    site.possible_runs[shard] = max(site.possible_runs.get(shard, until_s), until_s)
--- a/src/ebonyvalve/process/toy.py
+++ b/src/ebonyvalve/process/toy.py
@@ -117,7 +117,7 @@
     toy.thawed.set()
 
 
-def chill(toy: Toy) -> None:
+def make_cold(toy: Toy) -> None:
     """Make the target cold, as after a restart.
 
     :param toy: the target's state.
--- a/src/ebonyvalve/request/hedge.py
+++ b/src/ebonyvalve/request/hedge.py
@@ -41,7 +41,7 @@
     :param here: the node's state.
     :param member: the node of the target.
     """
-    service_latencies = here.books[member.service]
+    service_latencies = here.latencies[member.service]
     latency = service_latencies.targets.get(member.node)
     return routing.TargetLoad(
         in_flight=here.in_flight[member.node],
@@ -89,7 +89,7 @@
         is_idempotent=call.method in service.idempotent_methods,
         is_body_held=call.is_body_buffered,
         has_other_target=bool(list_others(here, service, tried)),
-        p95_s=straggler.read_quantile(here.books[service.name], 0.95),
+        p95_s=straggler.read_quantile(here.latencies[service.name], 0.95),
         remaining_s=call.deadline_at_s - here.now(),
     )
 
--- a/src/ebonyvalve/request/hop.py
+++ b/src/ebonyvalve/request/hop.py
@@ -44,7 +44,7 @@
         address=member.hop_address,
         extra_headers=extra,
         filter_reply=filter_hop_reply,
-        p99_s=straggler.read_quantile(here.books[service.name], 0.99),
+        p99_s=straggler.read_quantile(here.latencies[service.name], 0.99),
         max_idle_s=None if is_idempotent else local.MAX_IDLE_UNREPEATABLE_S,
         awaits_continue=not call.is_body_buffered,
     )
@@ -118,5 +118,5 @@
         return
     head_s = attempt_result.attempt.head_at_s
     latency_s = (here.now() if head_s is None else head_s) - started_s
-    service_latencies = here.books[service.name]
+    service_latencies = here.latencies[service.name]
     straggler.record(service_latencies, node, latency_s, is_complete=head_s is not None)
--- a/src/ebonyvalve/request/hop_headers.py
+++ b/src/ebonyvalve/request/hop_headers.py
@@ -121,7 +121,7 @@
         return None
     repeatable, raw_attempts, raw_priority, raw_objective_ms, key, route = fields
     numbers = [decoding.read_count(text) for text in (raw_attempts, raw_priority, raw_objective_ms)]
-    key_slot = decoding.read_count(key, max_value=identity.LAST_SLOT)
+    key_slot = decoding.read_count(key, max_value=identity.LAST_KEY_SLOT)
     if None in numbers or (key and key_slot is None):
         return None
     max_attempts, priority, objective_ms = (number or 0 for number in numbers)
--- a/src/ebonyvalve/request/local.py
+++ b/src/ebonyvalve/request/local.py
@@ -178,13 +178,13 @@
         )
 
     fence = (front.FENCE_HEADER, f"{job.shard}:{job.fence}".encode())
-    grant_until = (front.GRANT_UNTIL_HEADER, str(site.tell_grant_end_ms(here)).encode())
+    grant_until = (front.GRANT_UNTIL_HEADER, str(site.update_grant_end_ms(here)).encode())
     return attempts.AttemptContext(
         pool=job.connections,
         address=here.target.address or identity.Address(""),
         extra_headers=[*list_extra(job.call, here.now()), fence, grant_until],
         filter_reply=filter_target_reply,
-        p99_s=straggler.read_quantile(here.books[job.service.name], 0.99),
+        p99_s=straggler.read_quantile(here.latencies[job.service.name], 0.99),
         max_idle_s=MAX_IDLE_UNREPEATABLE_S if is_unrepeatable else None,
         correlate=functools.partial(_correlate, job.call.request_id.encode()),
     )
@@ -270,14 +270,14 @@
     admitted = limit.admit(here.admission, now=here.now(), deadline=call.deadline_at_s)
     if admitted.admission is not limit.Admission.WAIT or admitted.ticket is None:
         return admitted
-    event = here.admitted[admitted.ticket] = trio.Event()
+    event = here.admission_events[admitted.ticket] = trio.Event()
     is_woken = False
     try:
         with trio.move_on_after(max(call.deadline_at_s - here.now(), 0)):
             await event.wait()
             is_woken = admitted.ticket in here.admission.running
     finally:
-        here.admitted.pop(admitted.ticket, None)
+        here.admission_events.pop(admitted.ticket, None)
         if not is_woken:
             _cancel_admission(here, admitted.ticket)
     if is_woken:
@@ -342,8 +342,8 @@
         return
     until_s = job.call.deadline_at_s
     if job.service.checks_fence:
-        until_s = min(until_s, here.told_until_s)
-    site.note_doubt(here, job.shard, until_s)
+        until_s = min(until_s, here.sent_grant_end_s)
+    site.record_possible_run(here, job.shard, until_s)
 
 
 def _find_recorded_outcome(
@@ -380,7 +380,7 @@
     if attempt.head_at_s is not None:
         target.record_reply(here.target, now_s)
     if reply in (limit.Reply.OK, limit.Reply.TIMED_OUT):
-        service_latencies = here.books[job.service.name]
+        service_latencies = here.latencies[job.service.name]
         straggler.record(
             service_latencies, here.node, latency_s, is_complete=reply is limit.Reply.OK
         )
@@ -441,14 +441,14 @@
     fingerprint: identity.Fingerprint,
 ) -> None:
     """Check whether the target crashed while running a request whose connection broke."""
-    site.note_lost(here, fingerprint, here.now())
+    site.record_lost_request(here, fingerprint, here.now())
     opened = await pool.open_new(job.connections, address)
     if opened.value_or(None) is not None:
         await pool.discard(job.connections, address, opened.unwrap())
         return
     # On the same VM a refused connection proves a crash; whatever the reason, nothing can be sent
     # there now.
-    count = site.note_crash(here, here.now())
+    count = site.record_crash(here, here.now())
     decision.record(
         log,
         logging.WARNING,
--- a/src/ebonyvalve/request/reachability.py
+++ b/src/ebonyvalve/request/reachability.py
@@ -121,9 +121,7 @@
     async def connect(_: str) -> trio.abc.Stream:
         return connected
 
-    fetched = await http.fetch(
-        connect, address, request, timeout_s=timeout_s, most_bytes=PING_BYTES
-    )
+    fetched = await http.fetch(connect, address, request, timeout_s=timeout_s, max_bytes=PING_BYTES)
     return fetched.unwrap().status if isinstance(fetched, result.Success) else None
 
 
--- a/src/ebonyvalve/standin/metadata.py
+++ b/src/ebonyvalve/standin/metadata.py
@@ -62,11 +62,11 @@
     changed: trio.Event = dataclasses.field(default_factory=trio.Event)
     calls: int = 0
     # Number of calls by path and table.
-    asked: collections.Counter[tuple[str, str]] = dataclasses.field(
+    calls_by_table: collections.Counter[tuple[str, str]] = dataclasses.field(
         default_factory=collections.Counter
     )
     # Bytes of the answers by path and table.
-    told: collections.Counter[tuple[str, str]] = dataclasses.field(
+    reply_bytes_by_table: collections.Counter[tuple[str, str]] = dataclasses.field(
         default_factory=collections.Counter
     )
 
@@ -122,7 +122,7 @@
     async def respond(request: http.Request) -> http.Reply | None:
         state.calls += 1
         path_and_table = _find_path_and_table(request)
-        state.asked[path_and_table] += 1
+        state.calls_by_table[path_and_table] += 1
         fault = state.faults.get(caller, state.faults.get("", Fault.NONE))
         await trio.sleep(state.delay_s)
         if fault is Fault.BUSY:
@@ -136,7 +136,7 @@
         path, _, query = request.path.partition("?")
         parameters = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
         reply = await _answer(state, request.method, path, parameters, request.body)
-        state.told[path_and_table] += len(reply.body)
+        state.reply_bytes_by_table[path_and_table] += len(reply.body)
         if fault in (Fault.LOST, Fault.LATE):
             return None
         return reply
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -21,8 +21,8 @@
 
     ``holds`` lists the granted ranges of key slots as first, last and fencing token, which are
     valid until the time ``until`` in seconds; ``released`` lists those to report as released.
-    ``reached`` lists the ids of the requests received, ``budgets_ms`` their remaining time in
-    milliseconds, and ``ran`` the ids of the requests completed. ``callers`` lists the
+    ``received_ids`` lists the ids of the requests received, ``budgets_ms`` their remaining time in
+    milliseconds, and ``completed_ids`` the ids of the requests completed. ``callers`` lists the
     services that called, and ``dropped`` counts the requests dropped because their connection
     closed.
     """
@@ -42,8 +42,8 @@
     until: float = 0.0
     holds: list[tuple[int, int, int]] = dataclasses.field(default_factory=list)
     released: list[tuple[int, int, str]] = dataclasses.field(default_factory=list)
-    reached: list[str] = dataclasses.field(default_factory=list)
-    ran: list[str] = dataclasses.field(default_factory=list)
+    received_ids: list[str] = dataclasses.field(default_factory=list)
+    completed_ids: list[str] = dataclasses.field(default_factory=list)
     budgets_ms: list[int] = dataclasses.field(default_factory=list)
     callers: list[str] = dataclasses.field(default_factory=list)
     dropped: int = 0
@@ -97,7 +97,7 @@
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     request_id = headers.get("x-attempt-id", "")
     id_header = ("x-attempt-id", request_id)
-    target.reached.append(request_id)
+    target.received_ids.append(request_id)
     target.budgets_ms.append(int(headers.get("x-deadline-ms", "0")))
     if headers.get("x-expect-instance") != target.name or not _may_run(target, headers):
         return _reply(MISDIRECTED, [id_header, ("x-not-executed", "1")], b"")
@@ -108,7 +108,7 @@
         await trio.sleep(target.work_s)
     finally:
         target.running -= 1
-    target.ran.append(request_id)
+    target.completed_ids.append(request_id)
     target.callers.append(headers.get("x-caller-service", ""))
     content = body or f"{target.name} {head.target.decode()}".encode()
     reply_headers = [id_header, ("x-response-seal", "seal")]
@@ -182,4 +182,6 @@
 
     :param target: the target.
     """
-    return sum(last - first + 1 for first, last, _ in target.holds if last <= identity.LAST_SLOT)
+    return sum(
+        last - first + 1 for first, last, _ in target.holds if last <= identity.LAST_KEY_SLOT
+    )
--- a/src/ebonyvalve/version/diagnostics.py
+++ b/src/ebonyvalve/version/diagnostics.py
@@ -90,7 +90,7 @@
 def _describe_target(
     here: site.Site, member: message.Member, ownership_state: ownership.State
 ) -> report.Target:
-    latencies = here.books[member.service]
+    latencies = here.latencies[member.service]
     latency = latencies.targets.get(member.node)
     is_here = member.node == here.node
     version = None
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -37,7 +37,7 @@
                 clients[number % 3], "GET", "/lookup/x", x_shard_key=key_slot
             )
             assert (status, headers["x-response-seal"]) == (200, "seal")
-        assert all(target.ran for target in mesh.targets[:2])
+        assert all(target.completed_ids for target in mesh.targets[:2])
 
 
 async def test_body_path_and_caller_are_passed_on() -> None:
@@ -119,7 +119,7 @@
         warm = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(warm, 200, "/orders/warm")
         for target in mesh.targets:
-            target.ran.clear()
+            target.completed_ids.clear()
         statuses: list[int] = []
 
         async def call() -> None:
@@ -130,7 +130,7 @@
         async with trio.open_nursery() as nursery:
             for _ in range(number):
                 nursery.start_soon(call)
-        ran = [name for target in mesh.targets for name in target.ran]
+        ran = [name for target in mesh.targets for name in target.completed_ids]
         assert len(ran) == len(set(ran)) == statuses.count(200)
         assert statuses.count(200) + statuses.count(503) == number
 
@@ -150,13 +150,13 @@
         key = {} if method == "POST" else {"x_shard_key": "1"}
         await mesh_module.wait_status(client, 200, path, **key)
         target = mesh.targets[service]
-        target.ran.clear()
+        target.completed_ids.clear()
         target.dropped = 0
         with trio.move_on_after(0.2):
             await mesh_module.ask(client, method, path, **key)
         await client.stream.aclose()
         await trio.sleep(0.6)
-        assert (len(target.ran), target.dropped) == (ran, 1 - ran)
+        assert (len(target.completed_ids), target.dropped) == (ran, 1 - ran)
 
 
 async def test_order_whose_caller_has_left_does_not_begin() -> None:
@@ -167,14 +167,14 @@
     async with mesh_module.open_mesh(["orders", "lookup"]) as mesh:
         warm = await mesh_module.open_client(mesh.outbound[0])
         await mesh_module.wait_status(warm, 200, "/orders/warm")
-        mesh.targets[0].ran.clear()
+        mesh.targets[0].completed_ids.clear()
         for number in range(20):
             head = f"POST /orders/x HTTP/1.1\r\nhost: {mesh_module.HOST}\r\nx-attempt-id: {number}"
             # No await in between, so that the node reads the request and the close at once.
             with socket.create_connection(network.split_address(mesh.outbound[0])) as sock:
                 sock.sendall(f"{head}\r\ncontent-length: 0\r\n\r\n".encode())
         await trio.sleep(0.3)
-        assert mesh.targets[0].ran == []
+        assert mesh.targets[0].completed_ids == []
 
 
 @pytest.mark.parametrize(("is_ending", "status"), [(False, 200), (True, 503)])
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -46,7 +46,7 @@
         await mesh_module.wait_status(client, 200, "/orders/warm")
         await mesh_module.wait_status(client, 200, "/lookup/warm", x_shard_key="1")
     for target in mesh.targets:
-        target.reached.clear()
+        target.received_ids.clear()
 
 
 @pytest.mark.parametrize("node", [0, 1])
@@ -68,7 +68,7 @@
             with socket.create_connection(network.split_address(mesh.outbound[node])) as sock:
                 sock.sendall(build_request(method, path, f"r{number}", body))
         await trio.sleep(0.3)
-        assert [target.reached for target in mesh.targets] == [[], []]
+        assert [target.received_ids for target in mesh.targets] == [[], []]
 
 
 @pytest.mark.parametrize("node", [0, 1])
@@ -83,10 +83,10 @@
         target.work_s = WORK_S
         stream = await network.connect_tcp(mesh.outbound[node])
         await stream.send_all(build_request("GET", "/lookup/x", "r", LONG_BODY))
-        await wait_for(lambda: target.reached == ["r"])
+        await wait_for(lambda: target.received_ids == ["r"])
         await stream.aclose()
         await wait_for(lambda: target.running == 0)
-        assert (target.reached, target.dropped) == (["r"], 1)
+        assert (target.received_ids, target.dropped) == (["r"], 1)
 
 
 @pytest.mark.parametrize("node", [0, 1])
@@ -96,13 +96,13 @@
         await warm_up(mesh)
         target = mesh.targets[0]
         target.work_s = WORK_S
-        target.ran.clear()
+        target.completed_ids.clear()
         stream = await network.connect_tcp(mesh.outbound[node])
         await stream.send_all(build_request("POST", "/orders/x", "r", LONG_BODY))
-        await wait_for(lambda: target.reached == ["r"])
+        await wait_for(lambda: target.received_ids == ["r"])
         await stream.aclose()
         await wait_for(lambda: target.running == 0)
-        assert target.ran == ["r"]
+        assert target.completed_ids == ["r"]
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
@@ -126,7 +126,7 @@
         await queued.aclose()
         await wait_for(lambda: target.running == 0)
         await trio.sleep(0.2)
-        assert sorted(target.reached) == [f"busy{number}" for number in range(target.slots)]
+        assert sorted(target.received_ids) == [f"busy{number}" for number in range(target.slots)]
 
 
 async def test_caller_that_has_sent_much_more_gets_its_answer() -> None:
--- a/tests/process/keyspace/test_calls.py
+++ b/tests/process/keyspace/test_calls.py
@@ -85,7 +85,7 @@
 
 async def measure_phase(world: test_reconciliation.World, seconds: float, *, moves: bool) -> Cost:
     state = world.state
-    calls, answer_bytes = state.asked.copy(), state.told.copy()
+    calls, answer_bytes = state.calls_by_table.copy(), state.reply_bytes_by_table.copy()
     pushes, writes = len(world.pushed_to), test_reconciliation.count_ledgers(world)
     started_at = trio.current_time()
     for number in itertools.count():
@@ -96,8 +96,8 @@
         await trio.sleep(MOVE_PERIOD_S)
     return Cost(
         seconds=trio.current_time() - started_at,
-        calls=state.asked - calls,
-        answer_bytes=state.told - answer_bytes,
+        calls=state.calls_by_table - calls,
+        answer_bytes=state.reply_bytes_by_table - answer_bytes,
         pushes=len(world.pushed_to) - pushes,
         writes=test_reconciliation.count_ledgers(world) - writes,
     )
--- a/tests/process/keyspace/test_grant.py
+++ b/tests/process/keyspace/test_grant.py
@@ -16,7 +16,7 @@
 def build_ledger(*, is_moving: bool) -> ledger.Ledger:
     span = ledger.Span(
         first=0,
-        last=identity.LAST_SLOT,
+        last=identity.LAST_KEY_SLOT,
         fence=1,
         node="nx",
         holder=X,
@@ -81,7 +81,7 @@
     if world.report is not None:
         sequence, reported, sent_at = world.report
         worlds.append(change(world, report=None))
-        holds_rows = ((0, identity.LAST_SLOT, 1),) if reported else ()
+        holds_rows = ((0, identity.LAST_KEY_SLOT, 1),) if reported else ()
         grant.record_report(
             state,
             grant.Report(lifetime=X, sequence=sequence, holds=holds_rows, released=()),
@@ -150,10 +150,10 @@
     """A target may report a release as one range although the ledger has split it."""
     state = grant.Grantor(lifetime=X, sequence=5)
     state.released.append((0, 999, "token"))
-    state.withheld[(0, identity.LAST_SLOT)] = 4
+    state.withheld[(0, identity.LAST_KEY_SLOT)] = 4
     moving_ledger = build_ledger(is_moving=True)
     assert grant.find_released(state, moving_ledger, 0.0) == {0: ""}
-    state.released.append((0, identity.LAST_SLOT, "whole"))
+    state.released.append((0, identity.LAST_KEY_SLOT, "whole"))
     assert grant.find_released(state, moving_ledger, 0.0) == {0: "whole"}
 
 
--- a/tests/process/keyspace/test_ledger.py
+++ b/tests/process/keyspace/test_ledger.py
@@ -27,7 +27,7 @@
         assert span.first == following, current
         assert span.last >= span.first
         following = span.last + 1
-    assert following == identity.LAST_SLOT + 1
+    assert following == identity.LAST_KEY_SLOT + 1
 
 
 def count_keys(current: ledger.Ledger, name: str) -> int:
@@ -40,8 +40,8 @@
         st.tuples(
             st.just("move"),
             st.integers(0, 3),
-            st.integers(0, identity.LAST_SLOT),
-            st.integers(0, identity.LAST_SLOT),
+            st.integers(0, identity.LAST_KEY_SLOT),
+            st.integers(0, identity.LAST_KEY_SLOT),
         ),
         st.tuples(st.just("pass"), st.integers(0, 30), st.just(0), st.just(0)),
         st.tuples(st.just("exit"), st.integers(0, 3), st.just(0), st.just(0)),
@@ -75,7 +75,7 @@
 ) -> None:
     """A key in two spans would have two owners; targets would refuse a lower fence for good."""
     current = ledger.create([build_candidate(number) for number in range(3)])
-    probes = range(0, identity.LAST_SLOT + 1, 4111)
+    probes = range(0, identity.LAST_KEY_SLOT + 1, 4111)
     for step in steps:
         before = current
         current = take_step(current, step)
@@ -91,7 +91,7 @@
 def test_first_ledger_divides_by_weight() -> None:
     """A target with twice the slots must get twice the keys."""
     current = ledger.create([build_candidate(0, 2.0), build_candidate(1), build_candidate(2)])
-    size = identity.LAST_SLOT + 1
+    size = identity.LAST_KEY_SLOT + 1
     assert count_keys(current, NAMES[0]) == pytest.approx(size / 2, abs=2)
     assert count_keys(current, NAMES[1]) == pytest.approx(size / 4, abs=2)
 
--- a/tests/process/keyspace/test_rebalancing.py
+++ b/tests/process/keyspace/test_rebalancing.py
@@ -161,7 +161,7 @@
     fast = [load.offered for load, work_s in zip(loads, works_s, strict=True) if work_s < 0.1]
     assert all(0.4 < offered <= rebalancing.FILL_LOAD for offered in fast)
     assert all(offered < 0.45 for offered in slow)
-    assert key_counts[2] + key_counts[5] > 0.5 * (identity.LAST_SLOT + 1)
+    assert key_counts[2] + key_counts[5] > 0.5 * (identity.LAST_KEY_SLOT + 1)
     assert sum(moved[-3:]) == 0
 
 
--- a/tests/process/keyspace/test_reconciliation.py
+++ b/tests/process/keyspace/test_reconciliation.py
@@ -283,7 +283,7 @@
 
 
 def is_whole(world: World) -> bool:
-    return count_held(world) == identity.LAST_SLOT + 1
+    return count_held(world) == identity.LAST_KEY_SLOT + 1
 
 
 async def wait_whole(world: World, limit_s: float) -> float:
@@ -346,10 +346,12 @@
     """When a lease expired, all nodes wrote the same ledger at once, and all but one failed."""
     world = await build_world(nursery, 12)
     lose_machine(world.machines[3])
-    tries, writes = world.state.asked["/rows-tx", "mesh"], count_ledgers(world)
+    tries, writes = world.state.calls_by_table["/rows-tx", "mesh"], count_ledgers(world)
     await wait_whole(world, 18.0)
     await trio.sleep(2.0)
-    failed = world.state.asked["/rows-tx", "mesh"] - tries - (count_ledgers(world) - writes)
+    failed = (
+        world.state.calls_by_table["/rows-tx", "mesh"] - tries - (count_ledgers(world) - writes)
+    )
     assert failed <= 3
     assert world.violations == []
 
@@ -362,15 +364,15 @@
     All other nodes read the leases twice a second in search of it.
     """
     world = await build_world(nursery, 6)
-    rest = world.state.asked["/rows-get", "lease"]
+    rest = world.state.calls_by_table["/rows-get", "lease"]
     await trio.sleep(20.0)
-    rest = world.state.asked["/rows-get", "lease"] - rest
+    rest = world.state.calls_by_table["/rows-get", "lease"] - rest
     lose_machine(world.machines[5])
     await trio.sleep(20.0)
     await wait_whole(world, 1.0)
-    before = world.state.asked["/rows-get", "lease"]
+    before = world.state.calls_by_table["/rows-get", "lease"]
     await trio.sleep(20.0)
-    assert world.state.asked["/rows-get", "lease"] - before <= rest + 6
+    assert world.state.calls_by_table["/rows-get", "lease"] - before <= rest + 6
     assert world.violations == []
 
 
@@ -487,15 +489,15 @@
     """
     world = await build_world(nursery, 12)
     state = world.state
-    before, reads = state.version, state.asked["/rows-get", records.MESH]
+    before, reads = state.version, state.calls_by_table["/rows-get", records.MESH]
     for machine in world.machines[:6]:
         assert machine.reconciler is not None
         machine.target = None
         node_module.set_target_gone(machine.reconciler.node, "refuses connections", is_dead=True)
     await wait_whole(world, 3.0)
     writes = sum(1 for version, name in state.log if version > before and name[2][:5] == "book/")
-    assert state.asked["/rows-tx", records.MESH] > writes + 6
-    assert state.asked["/rows-get", records.MESH] == reads
+    assert state.calls_by_table["/rows-tx", records.MESH] > writes + 6
+    assert state.calls_by_table["/rows-get", records.MESH] == reads
     assert world.violations == []
 
 
@@ -508,11 +510,11 @@
     assert machine.reconciler is not None
     world.state.faults[machine.name] = metadata.Fault.BUSY
     await trio.sleep(1.0)
-    reads = world.state.asked["/rows-get", records.MESH]
+    reads = world.state.calls_by_table["/rows-get", records.MESH]
     machine.target = None
     node_module.set_target_gone(machine.reconciler.node, "refuses connections", is_dead=True)
     await trio.sleep(3.0)
-    assert world.state.asked["/rows-get", records.MESH] == reads
+    assert world.state.calls_by_table["/rows-get", records.MESH] == reads
     world.state.faults.clear()
     await wait_whole(world, 3.0)
     assert world.violations == []
@@ -627,7 +629,7 @@
     metadata.put(world.state, name, key, value)
     for _ in range(150):
         await trio.sleep(0.1)
-        assert count_held(world) > identity.LAST_SLOT // 2
+        assert count_held(world) > identity.LAST_KEY_SLOT // 2
     assert world.violations == []
     await wait_whole(world, 1.0)
     reconcilers = [machine.reconciler for machine in world.machines]
--- a/tests/process/keyspace/test_records.py
+++ b/tests/process/keyspace/test_records.py
@@ -246,4 +246,4 @@
         assert decoded.failure()
         return
     keys = [key for span in found.spans for key in range(span.first, span.last + 1)]
-    assert keys == list(range(identity.LAST_SLOT + 1))
+    assert keys == list(range(identity.LAST_KEY_SLOT + 1))
--- a/tests/process/test_http.py
+++ b/tests/process/test_http.py
@@ -73,7 +73,7 @@
     connect = build_connect(nursery, first, flood, FLOOD_PAUSE_S, sent)
     request = http.Request(method="GET", path="/")
     replied = await http.fetch(
-        connect, "a:1", request, timeout_s=TIMEOUT_S, most_bytes=MAX_BODY_BYTES
+        connect, "a:1", request, timeout_s=TIMEOUT_S, max_bytes=MAX_BODY_BYTES
     )
     assert replied == result.Failure(http.HttpFailure.BROKEN)
     assert sum(sent) <= most_bytes + SLACK_BYTES
--- a/tests/request/test_crash.py
+++ b/tests/request/test_crash.py
@@ -114,7 +114,7 @@
     state = test_delivery.build_delivery()
     node = state.node
     assert node.target is not None
-    node.grantor.granted = ((0, identity.LAST_SLOT),)
+    node.grantor.granted = ((0, identity.LAST_KEY_SLOT),)
     node.grantor.ends_at = trio.current_time() + 10.0
     call = test_delivery.build_call(1.0)
     for _ in range(crashes.QUARANTINE_CRASHES):
--- a/tests/request/test_delivery.py
+++ b/tests/request/test_delivery.py
@@ -28,7 +28,7 @@
         state=member.TargetState.READY,
         reported_at=trio.current_time(),
     )
-    span = ledger.Span(first=0, last=identity.LAST_SLOT, fence=1, node="me", holder=LIFETIME)
+    span = ledger.Span(first=0, last=identity.LAST_KEY_SLOT, fence=1, node="me", holder=LIFETIME)
     node.ledgers[SERVICE] = node_module.VersionedLedger(
         ledger=ledger.Ledger(spans=(span,)), version=1
     )
--- a/tests/version/test_impact.py
+++ b/tests/version/test_impact.py
@@ -61,7 +61,7 @@
     moves = [line for line in prediction.changes if " keys " in line and " from c " in line]
     assert moves
     gains = [line for line in prediction.changes if line.startswith("target")]
-    assert sum(int(line.rpartition("-> ")[2]) for line in gains) == identity.LAST_SLOT + 1
+    assert sum(int(line.rpartition("-> ")[2]) for line in gains) == identity.LAST_KEY_SLOT + 1
 
 
 def test_load_that_would_move_is_named() -> None:
