--- a/src/ebonyvalve/process/keyspace/grant.py
+++ b/src/ebonyvalve/process/keyspace/grant.py
@@ -41,7 +41,9 @@
 
     ``ends_at`` is when everything granted so far has expired, in seconds on the node's clock.
     ``withheld`` has the ranges that answers leave out because they move, by first and last key,
-    each with the sequence number of the first report that was answered without it.
+    each with the sequence number of the first report that was answered without it. ``granted``
+    has the first and last key of the ranges in the last answer. ``sequence`` and ``holds`` are
+    those of the last report, ``released`` comes from all reports of the lifetime.
     """
 
     lifetime: identity.Lifetime = ledger.NO_HOLDER
@@ -106,7 +108,7 @@
     spans = tuple(span for span in held_spans if not span.successor)
     moving = {(span.first, span.last) for span in held_spans if span.successor}
     grantor.withheld = {
-        ends: grantor.withheld.get(ends, grantor.sequence) for ends in sorted(moving)
+        key_range: grantor.withheld.get(key_range, grantor.sequence) for key_range in sorted(moving)
     }
     grantor.ends_at = max(grantor.ends_at, lease.find_hold_end(now, hold_s))
     grantor.granted = tuple((span.first, span.last) for span in spans)
--- a/src/ebonyvalve/process/keyspace/ledger.py
+++ b/src/ebonyvalve/process/keyspace/ledger.py
@@ -24,9 +24,10 @@
 class Span(msgspec.Struct, kw_only=True, frozen=True, array_like=True):
     """A range of keys and its holder.
 
-    ``first`` and ``last`` are key slots. ``fence`` is the fencing token, which rises with each new
-    holder. ``successor`` is the target that gets the range in a planned move; the holder keeps it
-    until it has released it. ``handover`` is what the previous holder left for the current one.
+    ``first`` and ``last`` are key slots, which this module calls keys for short. ``fence`` is the
+    fencing token, which rises with each new holder. ``successor`` is the target that gets the range
+    in a planned move; the holder keeps it until it has released it. ``handover`` is what the
+    previous holder left for the current one.
     """
 
     first: decoding.KeySlot
--- a/src/ebonyvalve/process/keyspace/plan.py
+++ b/src/ebonyvalve/process/keyspace/plan.py
@@ -21,7 +21,9 @@
     ``is_lost`` returns whether a lifetime of this node's target can no longer hold keys.
     ``expired_nodes`` are the nodes whose leases have certainly expired. ``is_leaving`` is set if
     the own target must give up its keys. ``released`` has the handovers of the spans that it has
-    released, by first key.
+    released, by first key. ``is_leader`` is set if the node is the first by name of those with
+    candidates, or if there are no candidates. The leader assigns vacant keys, and cancels moves to
+    targets that can no longer take keys, even those that other nodes have planned.
     """
 
     node: identity.NodeId
@@ -40,7 +42,7 @@
     :param committed: the committed ledger.
     :param observation: what the node knows.
     """
-    names = {candidate.lifetime for candidate in observation.candidates if candidate.weight > 0}
+    eligible = {candidate.lifetime for candidate in observation.candidates if candidate.weight > 0}
     proposed = ledger.vacate(
         committed,
         lambda span: (
@@ -53,12 +55,12 @@
         {
             span.first: observation.released[span.first]
             for span in proposed.spans
-            if span.first in observation.released and span.successor in names
+            if span.first in observation.released and span.successor in eligible
         },
     )
     proposed = ledger.cancel_moves(
         proposed,
-        lambda span: span.successor not in names
+        lambda span: span.successor not in eligible
         and (span.node == observation.node or observation.is_leader),
     )
     if observation.is_leaving:
--- a/src/ebonyvalve/process/keyspace/rebalancing.py
+++ b/src/ebonyvalve/process/keyspace/rebalancing.py
@@ -66,6 +66,7 @@
     :param load: the target.
     :param offered: the load that it would have.
     """
+    # The weight of a target is its number of slots.
     work_s = load.request_load * load.candidate.weight
     # With several slots, requests hardly wait below half load.
     return work_s * (1.0 + offered**4 / (1.0 - min(offered, MAX_OFFERED)))
@@ -89,12 +90,16 @@
         return None
     fastest = min(
         (load for load in others if load.offered <= FILL_LOAD),
-        key=lambda load: (_expect_now(load), load.candidate.lifetime),
+        key=lambda load: (_expect_current_answer(load), load.candidate.lifetime),
         default=None,
     )
     if fastest is None or fastest.offered >= FILL_LOAD:
         return None
-    return fastest if _expect_now(own_load) > SLOWER_RATIO * _expect_now(fastest) else None
+    return (
+        fastest
+        if _expect_current_answer(own_load) > SLOWER_RATIO * _expect_current_answer(fastest)
+        else None
+    )
 
 
 def is_busy(load: Load) -> bool:
@@ -105,7 +110,7 @@
     return load.offered >= BUSY_LOAD
 
 
-def _expect_now(load: Load) -> float:
+def _expect_current_answer(load: Load) -> float:
     return expect_answer(load, load.offered)
 
 
--- a/src/ebonyvalve/process/keyspace/reconciliation.py
+++ b/src/ebonyvalve/process/keyspace/reconciliation.py
@@ -75,7 +75,7 @@
 
 
 async def _reconcile_once(reconciler: records.Reconciler) -> bool:
-    """Write one change to the ledger if one is due; return whether the ledger has changed."""
+    """Write one change to the ledger if one is due; return whether to check again."""
     node = reconciler.node
     service = node.place.service
     versioned_ledger = node.ledgers.get(service)
@@ -103,7 +103,8 @@
         return await _rebalance_once(reconciler, name, versioned_ledger, observation)
     if not records.has_current_members(reconciler, versioned_ledger):
         return False
-    # The write requires that the leases are unchanged, or missing where none is known.
+    # The write fails if one of these nodes has renewed its lease meanwhile, or has written one
+    # where none was known.
     ended_leases = {
         records.name_lease_row(lost_node): _read_lease_version(node, lost_node)
         for lost_node in ledger.list_nodes(versioned_ledger.ledger) & observation.expired_nodes
@@ -145,6 +146,10 @@
     proposed: ledger.Ledger,
     ended_leases: dict[table.Name, int],
 ) -> bool:
+    """Write a ledger and remove ended leases; return whether the known rows have changed.
+
+    The write requires that the ledger and the leases still have the given versions.
+    """
     node = reconciler.node
     current = node.ledgers.get(node.place.service)
     base = current.ledger if current is not None else ledger.Ledger(spans=())
@@ -194,6 +199,7 @@
     versioned_ledger: node_module.VersionedLedger,
     observation: plan.Observation,
 ) -> bool:
+    """Write moves of keys to other targets if they are due; return whether to check again."""
     rebalanced = _rebalance(reconciler, versioned_ledger.ledger, observation)
     if rebalanced == versioned_ledger.ledger or not records.has_current_members(
         reconciler, versioned_ledger
@@ -227,7 +233,8 @@
     }
     if own_candidate.lifetime in unsettled:
         return planned
-    # Keys that move to the own target arrive after one or two heartbeats, too late to wait for.
+    # Other targets that are about to receive keys are passed over too. The own target does not wait
+    # for keys that move to it, because they arrive only after one or two heartbeats.
     unsettled |= {identity.Lifetime(span.successor) for span in planned.spans if span.successor}
     loads = {
         candidate.node: _estimate_load(reconciler, candidate)
@@ -264,6 +271,7 @@
 
 
 def _estimate_load(reconciler: records.Reconciler, candidate: ledger.Candidate) -> rebalancing.Load:
+    """Return the load of a target from its last answer, or from its lease row if that is newer."""
     node = reconciler.node
     if candidate.node == node.place.node:
         load_report = node_module.measure_load(node)
@@ -345,7 +353,8 @@
         if announced.node in alive
         and not (announced.node == node.place.node and is_lost(announced.lifetime))
     )
-    leaders = sorted(candidate.node for candidate in candidates)
+    # Without candidates, every node may act as the leader.
+    candidate_nodes = sorted(candidate.node for candidate in candidates)
     return plan.Observation(
         node=node.place.node,
         own_lifetime=own_lifetime,
@@ -357,7 +366,7 @@
         ),
         expired_nodes=expired_nodes | _find_nodes_without_lease(reconciler),
         is_leaving=target is not None and not node_module.is_open(node),
-        is_leader=not leaders or leaders[0] == node.place.node,
+        is_leader=not candidate_nodes or candidate_nodes[0] == node.place.node,
         is_lost=is_lost,
     )
 
--- a/src/ebonyvalve/process/keyspace/records.py
+++ b/src/ebonyvalve/process/keyspace/records.py
@@ -58,7 +58,9 @@
 class Reconciler:
     """The node's rows in the store, and how far it has read the other rows.
 
-    Times are in seconds on the node's clock.
+    ``mesh_version`` is the version up to which members and ledgers have been read.
+    ``leases_asked_at`` is when the leases were last requested, ``leases_read_at`` when an answer
+    last arrived. Times are in seconds on the node's clock.
     """
 
     node: node_module.Node
@@ -81,7 +83,7 @@
     needs_members: bool = False
     # The nodes that are affected by a ledger written here and have not been notified of it.
     nodes_to_notify: set[identity.NodeId] = dataclasses.field(default_factory=set)
-    # How often the leases have been read in search of that of a member without one.
+    # How many times the leases have been read in search of the one of each member without a lease.
     lease_lookups: dict[identity.Lifetime, int] = dataclasses.field(default_factory=dict)
     # The node grants nothing by an older ledger than this. Its own lease was ended by another node
     # before this version was read, so that other targets may have received its target's keys.
--- a/src/ebonyvalve/process/keyspace/registration.py
+++ b/src/ebonyvalve/process/keyspace/registration.py
@@ -58,7 +58,10 @@
 async def _write(
     reconciler: records.Reconciler, announcement: member.Member, predecessors: list[member.Member]
 ) -> bool:
-    """Write the announcement and remove the predecessors' rows in one transaction."""
+    """Write the announcement and remove the predecessors' rows; return whether that succeeded.
+
+    Both happen in one transaction, so that the other nodes learn of both at once.
+    """
     is_gone = announcement.state is member.TargetState.GONE
     writes = {
         records.name_member_row(announcement.node): None if is_gone else member.encode(announcement)
--- a/src/ebonyvalve/process/keyspace/renewal.py
+++ b/src/ebonyvalve/process/keyspace/renewal.py
@@ -18,8 +18,9 @@
 # All leases are read again by the time this has passed. The oldest of them was renewed up to
 # RENEW_S before it was read, and must not seem to have expired by the next read.
 LEASES_READ_INTERVAL_S = 3 * lease.RENEW_S
-# How often the lease of a member without one is looked for: it is written a moment after the
-# member's row. The row of a lost machine remains, and its lease is never written.
+# How many times the leases are read in search of the one of a member without a lease, which is
+# written a moment after the member's row. The row of a lost machine remains, but its lease is never
+# written.
 MAX_LEASE_LOOKUPS = 6
 
 
--- a/src/ebonyvalve/process/push.py
+++ b/src/ebonyvalve/process/push.py
@@ -1,4 +1,4 @@
-"""Sends messages to other nodes ahead of the store, which would deliver the same news later."""
+"""Pushes messages directly to other nodes, without the delay of the store."""
 
 import collections.abc
 import logging
--- a/src/ebonyvalve/process/store/table.py
+++ b/src/ebonyvalve/process/store/table.py
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Name:
-    """Identifies a row of the store."""
+    """Identifies a row of the store; ``part`` is the partition of its table."""
 
     table: TableName
     key: str
@@ -73,8 +73,9 @@
 class Store:
     """The calls of the store.
 
-    ``read(table)`` returns all rows of a table's part. ``follow(table, version, wait seconds)`` is
-    a long poll that returns the rows that changed after a version as soon as there is one.
+    ``read(table)`` returns all rows of a table's unnamed part.
+    ``follow(table, version, wait seconds)`` is a long poll that returns the rows that changed after
+    a version as soon as there is one.
     ``commit(expected versions, writes)`` applies all writes or none; ``None`` removes a row.
     """
 
