--- a/src/ebonyvalve/process/load/admission.py
+++ b/src/ebonyvalve/process/load/admission.py
@@ -50,8 +50,9 @@
 class Demand:
     """What a request needs: its deadline in seconds on the node's clock, and its urgency.
 
-    Requests of one ``kind`` take about equally long, such as those of one route. A lower
-    ``priority`` is more urgent.
+    ``objective_s`` is within how many seconds of its arrival it should be answered. Requests of one
+    ``kind`` take about equally long, such as those of one route. A lower ``priority`` is more
+    urgent.
     """
 
     deadline_at: float
@@ -62,7 +63,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Decision:
-    """The decision on a request; ``retry_after_s`` is in how many seconds there may be room."""
+    """The decision on a request.
+
+    ``wait_s`` is the expected wait in seconds, ``retry_after_s`` in how many seconds there may be
+    room for a refused request.
+    """
 
     verdict: Verdict
     ticket: Ticket | None = None
@@ -88,7 +93,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Controller:
-    """The requests at the target, and what is known of its capacity."""
+    """The requests at the target, and what is known of its capacity.
+
+    ``cold_rate`` is how many requests per second the target can handle while it is cold, until
+    ``cold_until`` in seconds on the node's clock; 0 for no limit.
+    """
 
     slots: int
     cold_rate: float
@@ -98,7 +107,7 @@
     usual_work_s: float = INITIAL_WORK_S
     measurements: int = 0
     cold_until: float = float("-inf")
-    # Short and long requests share a target.
+    # Work times are known by kind, because short and long requests share a target.
     kinds: dict[str, RequestKind] = dataclasses.field(default_factory=dict)
     # The kinds of the running requests.
     running: dict[Ticket, str] = dataclasses.field(default_factory=dict)
@@ -140,10 +149,10 @@
         return Decision(verdict=Verdict.REFUSE, retry_after_s=excess_s, wait_s=wait_s)
     controller.last_ticket += 1
     ticket = Ticket(controller.last_ticket)
-    if _find_room(controller, demand.kind, now) and not _must_queue(controller, demand.kind):
+    if _has_room(controller, demand.kind, now) and not _must_queue(controller, demand.kind):
         _start(controller, ticket, demand.kind, now)
         return Decision(verdict=Verdict.RUN, ticket=ticket)
-    heapq.heappush(controller.waiting, (demand.priority, _find_due(demand, now), ticket))
+    heapq.heappush(controller.waiting, (demand.priority, _find_due_time(demand, now), ticket))
     controller.demands[ticket] = demand
     return Decision(verdict=Verdict.WAIT, ticket=ticket, wait_s=wait_s)
 
@@ -152,10 +161,11 @@
     """Return how many seconds a request that arrives now is expected to wait.
 
     :param controller: the state.
-    :param demand: what it needs; only requests that are as urgent and due earlier go first.
+    :param demand: what it needs; requests that are more urgent, or as urgent and due earlier, go
+        first.
     :param now: seconds on the node's clock.
     """
-    rank = (demand.priority, _find_due(demand, now))
+    rank = (demand.priority, _find_due_time(demand, now))
     ahead = [ticket for *other, ticket in controller.waiting if tuple(other) <= rank]
     size = expect_size(controller, demand.kind)
     if not link.is_large(controller.uplink, size):
@@ -163,7 +173,7 @@
         ahead = [
             ticket
             for ticket in ahead
-            if _has_link(controller, controller.demands[ticket].kind, now)
+            if _has_link_room(controller, controller.demands[ticket].kind, now)
         ]
     free = controller.slots - len(controller.running)
     wait_s = 0.0
@@ -172,7 +182,7 @@
         queued_s = sum(expect_work(controller, controller.demands[ticket].kind) for ticket in ahead)
         wait_s = (queued_s + _expect_running(controller)) / controller.slots
         # Later requests that are due sooner take their share of the slots meanwhile.
-        wait_s /= 1.0 - min(MAX_OVERTAKING_LOAD, _find_overtaking(controller, demand, now))
+        wait_s /= 1.0 - min(MAX_OVERTAKING_LOAD, _find_overtaking_load(controller, demand, now))
     if is_cold(controller, now) and controller.cold_rate > 0:
         _forget_starts(controller, now)
         excess = len(ahead) + 1 + len(controller.starts) - controller.cold_rate * RATE_WINDOW_S
@@ -221,6 +231,7 @@
 
 
 def _find_pending_bytes(controller: Controller) -> float:
+    """Return the expected bytes of the answers that the target is still preparing."""
     return sum(expect_size(controller, kind) for kind in controller.running.values())
 
 
@@ -252,7 +263,7 @@
     return kind.arrivals * math.exp((kind.updated_at - now) / RATE_MEMORY_S)
 
 
-def _find_overtaking(controller: Controller, demand: Demand, now: float) -> float:
+def _find_overtaking_load(controller: Controller, demand: Demand, now: float) -> float:
     """Return the share of the slots taken by requests that overtake one that arrives now."""
     urgency = (demand.priority, demand.objective_s)
     work_s = sum(
@@ -271,7 +282,7 @@
     )
 
 
-def _find_due(demand: Demand, now: float) -> float:
+def _find_due_time(demand: Demand, now: float) -> float:
     return min(demand.deadline_at, now + demand.objective_s)
 
 
@@ -355,9 +366,9 @@
         demand = controller.demands[ticket]
         min_work_s = MIN_WORK_SHARE * expect_work(controller, demand.kind)
         is_late = now + min_work_s > demand.deadline_at
-        if not is_late and not _find_slot(controller, now):
+        if not is_late and not _has_free_slot(controller, now):
             break
-        if not is_late and not _find_room(controller, demand.kind, now):
+        if not is_late and not _has_room(controller, demand.kind, now):
             deferred.append(heapq.heappop(controller.waiting))
             continue
         heapq.heappop(controller.waiting)
@@ -369,10 +380,10 @@
         run.append(ticket)
     for entry in deferred:
         heapq.heappush(controller.waiting, entry)
-    again_at = None
+    next_dequeue_at = None
     if controller.waiting and len(controller.running) < controller.slots and controller.starts:
-        again_at = controller.starts[0] + RATE_WINDOW_S
-    return Dequeued(run=tuple(run), late=tuple(late), next_dequeue_at=again_at)
+        next_dequeue_at = controller.starts[0] + RATE_WINDOW_S
+    return Dequeued(run=tuple(run), late=tuple(late), next_dequeue_at=next_dequeue_at)
 
 
 def record_cold(controller: Controller, until: float) -> None:
@@ -393,17 +404,17 @@
     return now < controller.cold_until
 
 
-def _find_room(controller: Controller, kind: str, now: float) -> bool:
-    return _has_link(controller, kind, now) and _find_slot(controller, now)
+def _has_room(controller: Controller, kind: str, now: float) -> bool:
+    return _has_link_room(controller, kind, now) and _has_free_slot(controller, now)
 
 
-def _has_link(controller: Controller, kind: str, now: float) -> bool:
+def _has_link_room(controller: Controller, kind: str, now: float) -> bool:
     if not link.is_large(controller.uplink, expect_size(controller, kind)):
         return True
     return link.has_room(controller.uplink, _find_pending_bytes(controller), now)
 
 
-def _find_slot(controller: Controller, now: float) -> bool:
+def _has_free_slot(controller: Controller, now: float) -> bool:
     if len(controller.running) >= controller.slots:
         return False
     if not is_cold(controller, now) or controller.cold_rate <= 0:
--- a/src/ebonyvalve/process/load/crashes.py
+++ b/src/ebonyvalve/process/load/crashes.py
@@ -1,7 +1,8 @@
 """Quarantine of requests that crash targets.
 
 When a target crashes, any request that it was running may be the cause, up to as many as it has
-slots. A request that was running in several crashes at different times is quarantined.
+slots, and most of them are innocent. A request that was running in several crashes at different
+times is not, and is quarantined.
 """
 
 import collections.abc
@@ -22,7 +23,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Quarantine:
-    """The times of the crashes in which each request was running, oldest request first."""
+    """The times of the crashes in which each request was running, by the time of its last crash."""
 
     crashes: dict[identity.Fingerprint, list[float]] = dataclasses.field(default_factory=dict)
 
--- a/src/ebonyvalve/process/load/lag.py
+++ b/src/ebonyvalve/process/load/lag.py
@@ -11,6 +11,7 @@
 # If a request needs more than this share of its time in the node alone, too little is left for its
 # target.
 MAX_SHARE = 0.5
+# The weight of a new value in the moving average.
 SMOOTHING = 0.3
 # In a process with enough processor time, wake-ups are only a few milliseconds late.
 LAGGING_S = 0.02
--- a/src/ebonyvalve/process/load/rates.py
+++ b/src/ebonyvalve/process/load/rates.py
@@ -10,6 +10,7 @@
 MEMORY_S = 2.0
 # Keys with a lower rate, in requests per second, are insignificant and dropped.
 MIN_RATE = 0.02
+# Insignificant keys are dropped this often.
 COMPACT_S = 1.0
 
 
@@ -81,6 +82,7 @@
     if elapsed_s <= 0:
         return
     key_rates.updated_at = now
+    # The bound on the exponent prevents an overflow after a long pause.
     key_rates.scale *= math.exp(min(elapsed_s, 100 * MEMORY_S) / MEMORY_S)
     if key_rates.scale > 1e9 or now - key_rates.compacted_at > COMPACT_S:
         key_rates.compacted_at = now
--- a/tests/process/load/test_admission.py
+++ b/tests/process/load/test_admission.py
@@ -127,6 +127,7 @@
     assert admission.dequeue(state, 0.1).run == ()
 
 
+# Two kinds of requests with their work times in seconds: short calls, and orders that take longer.
 CALL = admission.Demand(deadline_at=0.5, objective_s=0.15, priority=1, kind="call")
 ORDER = admission.Demand(deadline_at=1.5, objective_s=0.6, priority=1, kind="order")
 WORK = {"call": 0.04, "order": 0.21}
@@ -141,7 +142,7 @@
 
 
 def play_mix(rates: dict[str, float], slots: int, until_s: float) -> dict[str, Served]:
-    """Simulate short calls and long orders at one target; return the results by kind."""
+    """Simulate short calls and longer requests at one target; return the results by kind."""
     rng = random.Random(7)
     state = build_controller(slots=slots)
     served = {"call": Served(), "order": Served()}
@@ -181,7 +182,7 @@
 
 
 def test_calls_go_ahead_of_long_orders() -> None:
-    """Short calls were refused behind long orders while a zone was evacuated.
+    """Short calls were refused behind longer requests while a zone was evacuated.
 
     Too few targets were left at the Darkroom for bookings and membership checks. A refused check
     fails a request that has already used a slot elsewhere for longer than the check takes: 1098 of
@@ -194,7 +195,7 @@
 
 
 def test_overtaken_orders_are_admitted_only_if_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Orders that calls overtake must be refused at once if they would end late."""
+    """Long requests that calls overtake must be refused at once if they would end late."""
 
     def find_late_share() -> float:
         orders = play_mix({"call": 60.0, "order": 25.0}, slots=6, until_s=60.0)["order"]
--- a/tests/process/load/test_selection.py
+++ b/tests/process/load/test_selection.py
@@ -20,7 +20,10 @@
 
 
 def test_targets_of_different_speed_finish_alike() -> None:
-    """Without regard to work times, requests would queue at slow targets while fast ones idle."""
+    """Without regard to work times, requests would queue at slow targets while fast ones idle.
+
+    The speeds of targets differ by more than a factor of two.
+    """
     rng = random.Random(3)
     works_s = [0.06, 0.1, 0.1, 0.14]
     views = build_views(works_s)
