--- a/src/ebonyvalve/process/load/crashes.py
+++ b/src/ebonyvalve/process/load/crashes.py
@@ -2,7 +2,8 @@
 
 When a target crashes, any request that it was running may be the cause, up to as many as it has
 slots, and most of them are innocent. A request that was running in several crashes at different
-times is not, and is quarantined.
+times is not, and is quarantined. The nodes of a cell follow a stricter rule instead; see
+:mod:`ebonyvalve.process.quarantine`.
 """
 
 import collections.abc
--- a/src/ebonyvalve/process/node.py
+++ b/src/ebonyvalve/process/node.py
@@ -19,6 +19,7 @@
 class Target:
     """The target beside this node, as it last reported itself.
 
+    ``started_at_ms`` is the Unix time of its start in milliseconds, 0 if not known yet.
     ``reported_at`` is in seconds on the node's clock. ``is_assumed`` is set for a target that is
     known only from the node's row in the store and has not reported yet. ``is_dead`` means that its
     process has ended; a target that is gone but not dead may still run and hold keys.
