--- a/src/ebonyvalve/platform/daemon.py
+++ b/src/ebonyvalve/platform/daemon.py
@@ -336,7 +336,8 @@
 
     async def respond(request: http.Request) -> http.Reply:
         if request.path != READY_PATH:
-            # Imported on demand to save memory, as most processes never serve these pages.
+            # Imported on demand, as most processes never serve these pages, and the memory of the
+            # process is charged for.
             from ebonyvalve.platform import admin
 
             return admin.answer(daemon.origin, request.path)
--- a/src/ebonyvalve/platform/sockets.py
+++ b/src/ebonyvalve/platform/sockets.py
@@ -6,7 +6,7 @@
 
 from ebonyvalve.process import network
 
-# Connections may go silent without a reset, and a VM that lost power sends none.
+# Connections may go silent without a reset, and a VM without power sends nothing at all.
 KEEP_ALIVE_S = 1
 KEEP_ALIVE_PROBES = 2
 USER_TIMEOUT_MS = 3000
--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -21,7 +21,8 @@
 UNKEYED = -1
 # Weight of a refused request in the request rates. Callers that are refused retry, mostly twice.
 REFUSED_WEIGHT = 1 / 3
-# Retry delay while the target has no valid grant; the reply to each of its reports renews it.
+# Retry delay while the target has no valid grant. It reports with each heartbeat, and the reply to
+# a report renews the grant.
 GRANT_RETRY_S = 0.2
 # Retry delay while this process stops; it is restarted within about a second.
 RESTARTING_RETRY_S = 1.0
--- a/tests/connection/test_pool_closed.py
+++ b/tests/connection/test_pool_closed.py
@@ -36,8 +36,9 @@
 async def test_closed_connection_is_not_used_again(nursery: trio.Nursery) -> None:
     """Guards against sending a request on a connection that the remote end has closed.
 
-    During a rolling stop of the nodes, 141 requests ended with 502 although none had run. A stopped
-    node resets the connection, and once a byte was sent it is unknown whether the request has run.
+    During a rolling stop of the nodes in a Darkroom run, 141 attempts ended with 502 although none
+    of them could have run. A stopped node resets the connection, and once a byte was sent it is
+    unknown whether the request has run.
     """
     address, accepted = await open_server(nursery)
     state = pool.Pool(connect=network.connect_tcp, now=trio.current_time)
--- a/tests/connection/test_pool_silence.py
+++ b/tests/connection/test_pool_silence.py
@@ -1,4 +1,4 @@
-"""Tests of requests that receive no bytes for slow, while others to the same address do."""
+"""Tests of requests that receive no bytes for long, while others to the same address do."""
 
 import pytest
 import trio
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -39,7 +39,10 @@
 
 
 async def test_target_receives_its_budget_and_the_caller_service() -> None:
-    """Guards against a time budget that isn't a whole number of at least 1 ms."""
+    """Guards against a wrong time budget, target id or caller service on the way to a target.
+
+    The budget is a whole number of milliseconds, and at least 1 even if no time is left.
+    """
     call = test_origin.build_call(is_repeatable=True)
     lifetime = identity.Lifetime("i-1@5")
     headers = dict(dialect.build_headers(call, lifetime, 0.7004))
--- a/tests/platform/test_gossip.py
+++ b/tests/platform/test_gossip.py
@@ -58,8 +58,8 @@
 ) -> None:
     """Guards against a node that is late because the store refuses it.
 
-    In a run with 88 nodes, 31 applied a configuration 4 to 9 s late: the store refused them, and
-    other nodes only advertised the version that they had.
+    In the run "grown trouble-1" with 88 nodes, 31 applied a configuration 4 to 9 s late (CONFIG,
+    EVAC): the store refused them, and other nodes only advertised the version that they had.
     """
     node = test_origin.build_origin(0.0).node
     source = test_origin.build_origin(0.0).node
@@ -109,8 +109,8 @@
 ) -> None:
     """Guards against reading a configuration from the store that another node has already sent.
 
-    A configuration of 1,522 routes took 0.66 to 3.4 s over links of 10 Mbit/s, and a small row
-    (an evacuation) that was written after it had to wait.
+    In a grown Darkroom run, a configuration of 1,522 routes took 0.66 to 3.4 s over links of
+    10 Mbit/s, and the small row of an evacuation that was written after it had to wait (EVAC).
     """
     node = test_origin.build_origin(0.0).node
     source = test_origin.build_origin(0.0).node
@@ -155,8 +155,8 @@
 ) -> None:
     """Guards against aborting transfers over a busy link.
 
-    A node applied a configuration 4.5 s late: 3 answers were aborted after 1.5 s each, and so was
-    the store's, as downloads filled its link of 10 Mbit/s.
+    In a grown Darkroom run, a node applied a configuration 4.5 s late: 3 answers were aborted after
+    1.5 s each, and so was the store's, as downloads filled its link of 10 Mbit/s.
     """
     node = test_origin.build_origin(0.0).node
     source = test_origin.build_origin(0.0).node
