--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -29,7 +29,8 @@
 # A leaving target gets new requests for its keys until this long before the end of its drain, so
 # that requests in flight can finish.
 HANDOVER_MARGIN_S = 0.4
-# Retry delay for a quarantined request: about as long as the quarantine lasts.
+# Retry delay for a quarantined request. The quarantine lasts up to 60 s after the last crash, so
+# that an early retry would be refused again.
 QUARANTINE_RETRY_S = 30.0
 # The queue is checked periodically because cold targets gain capacity, and waiting requests expire,
 # as time passes.
