--- a/src/ebonyvalve/request/delivery.py
+++ b/src/ebonyvalve/request/delivery.py
@@ -21,14 +21,16 @@
 UNKEYED = -1
 # Weight of a refused request in the request rates. Callers that are refused retry, mostly twice.
 REFUSED_WEIGHT = 1 / 3
-# Retry delay while the target has no valid grant; the reply to each of its reports renews it.
+# Retry delay while the target has no valid grant. It reports with each heartbeat, and the reply to
+# a report renews the grant.
 GRANT_RETRY_S = 0.2
 # Retry delay while this process stops; it is restarted within about a second.
 RESTARTING_RETRY_S = 1.0
 # A leaving target gets new requests for its keys until this long before the end of its drain, so
 # that requests in flight can finish.
 HANDOVER_MARGIN_S = 0.4
-# Retry delay for a quarantined request: about as long as the quarantine lasts.
+# Retry delay for a quarantined request. The quarantine lasts up to 60 s after the last crash, so
+# that an early retry would be refused again.
 QUARANTINE_RETRY_S = 30.0
 # The queue is checked periodically because cold targets gain capacity, and waiting requests expire,
 # as time passes.
