--- a/src/ebonyvalve/process/budget.py
+++ b/src/ebonyvalve/process/budget.py
@@ -91,7 +91,8 @@
 
     :param budget: the bucket.
     """
-    # The level is a sum of fractions; without the tolerance, rounding could withhold an attempt.
+    # The level is a sum of shares such as 0.1; without the tolerance, rounding could withhold a
+    # whole attempt.
     if budget.level < 1.0 - 1e-9:
         return False
     budget.level -= 1.0
--- a/src/ebonyvalve/process/cell.py
+++ b/src/ebonyvalve/process/cell.py
@@ -556,7 +556,7 @@
 def handle_heartbeat(
     state: Coordinator, heartbeat: message.Heartbeat, now: float
 ) -> tuple[Coordinator, HeartbeatAnswer]:
-    """Decide how to answer a heartbeat. If the answer is ``RENEW``, the lease is extended.
+    """Decide how to answer a heartbeat. ``RENEW`` extends the lease, counted from ``now``.
 
     :param state: the coordinator.
     :param heartbeat: the heartbeat.
@@ -730,7 +730,7 @@
 def expire(
     state: Coordinator, find_grace: FindGrace, now: float
 ) -> tuple[Coordinator, list[identity.NodeId]]:
-    """Remove nodes whose lease has expired, and return the state and the removed nodes.
+    """Remove nodes whose lease has surely expired, and return the state and the removed nodes.
 
     Their shards become free after the grace period of the service.
 
--- a/src/ebonyvalve/process/limit.py
+++ b/src/ebonyvalve/process/limit.py
@@ -259,7 +259,10 @@
 
 
 def enter_slow_start(target: Target) -> None:
-    """Put the target into slow start: it is new or has recovered, or seems or reports itself cold.
+    """Put the target into slow start.
+
+    It is new, was restarted (its incarnation has changed) or has recovered, or it seems or reports
+    itself cold.
 
     :param target: the target's state.
     """
--- a/src/ebonyvalve/process/ownership.py
+++ b/src/ebonyvalve/process/ownership.py
@@ -35,8 +35,8 @@
 HEAD_POLL_INTERVAL_S = 0.5
 PLAN_INTERVAL_S = 1.0
 ASK_TIMEOUT_S = 0.1
-# Time limit of a release, which waits for the requests in flight. After it, the revoke is sent
-# again.
+# Time limit of a release, which waits for the requests in flight; their default deadline is 400 ms.
+# After it, the revoke is sent again.
 RELEASE_TIMEOUT_S = 2.0
 FETCH_TIMEOUT_S = 2.0
 STORE_TIMEOUT_S = 5.0
@@ -50,14 +50,14 @@
 # A coordinator that has stepped down leaves the cell to its standbys for this time.
 RECLAIM_DELAY_S = 1.0
 RETRY_INTERVAL_S = 0.1
-# A new cell waits this long for its nodes to join before it assigns shards; otherwise the first
+# A cell that has never assigned a shard waits this long for its nodes to join; otherwise the first
 # node would get every shard.
 DISCOVERY_S = 1.0
 # Longest pause between reads of the cell row while the store does not answer. A store that has just
 # recovered handles 2000 reads/s; 780 nodes reading 10 times a second would send 7800.
 MAX_SEARCH_INTERVAL_S = 1.0
 FIRST_RETRY_INTERVAL_S = 0.005
-# Loads are not sent with every heartbeat: those of 40 shards are larger than the rest of it.
+# Loads are not sent with every heartbeat: those of about 40 shards exceed the rest of it.
 LOAD_REPORT_INTERVAL_S = 1.0
 NO_OTHER_MEMBER = "no other member"
 LEAVE_TIMEOUT_S = 5.0
@@ -664,7 +664,7 @@
     """Claim the cell as a standby when the coordinator stops asking for consent."""
     while True:
         promised = state.standby.promised_until_s
-        # One request for consent is overdue. Reading the row ahead saves the claim a round trip.
+        # One request for consent is overdue. If the row is read now, a claim takes one round trip.
         early = promised - lease.CONSENT_PERIOD_S
         if _now(state) < early:
             await timer.wait_until(state.ports.timer, early)
@@ -1313,7 +1313,7 @@
 
 
 def _send_routes(state: State, leadership: Leadership, changes: list[cell.Change]) -> None:
-    """Send former owners the routes of their moved shards, so that they can forward requests."""
+    """Send former owners the routes of moved shards, so that they can forward requests at once."""
     routes: dict[identity.NodeId, list[message.Route]] = {}
     for change in changes:
         if (
--- a/src/ebonyvalve/version/publish.py
+++ b/src/ebonyvalve/version/publish.py
@@ -12,8 +12,8 @@
 
 HEAD_KEY = "config/head"
 LOG_PREFIX = "config/log/"
-# The attempts span a few seconds, so that a store that is down for this long does not leave the
-# outcome unknown.
+# With the pauses of RETRY_INTERVAL_S, the attempts span a few seconds, so that a store that is down
+# for this long does not leave the outcome unknown.
 MAX_ATTEMPTS = 8
 RETRY_INTERVAL_S = 0.5
 # Nodes send a heartbeat every 150 ms, so polling more often than that shows nothing new.
--- a/tests/process/test_limit.py
+++ b/tests/process/test_limit.py
@@ -159,7 +159,10 @@
 
 
 def test_queue_sheds_before_the_deadline() -> None:
-    """Guards against queuing requests that can't run before their deadline."""
+    """Guards against queuing requests that can't run before their deadline.
+
+    They must be refused at once, before their body is read.
+    """
     target = make_steady(slots=1, latency_s=0.05)
     target.limit = 1.0
     answers = [admit(target, 1.0, deadline=1.12) for _ in range(4)]
