--- a/bench/faults.py
+++ b/bench/faults.py
@@ -282,6 +282,7 @@
     zone = schedule.random.choice(schedule.world.shape.zones)
     published = await worlds.publish_objects(schedule.world, list_objects(schedule, drained=zone))
     start_s = trio.current_time()
+    # History checks a drain only after DRAIN_S, 3 s, so a shorter one would check nothing.
     await trio.sleep(max(duration_s, 4.0))
     end_s = trio.current_time()
     await worlds.publish_objects(schedule.world, list_objects(schedule))
--- a/bench/history.py
+++ b/bench/history.py
@@ -75,6 +75,7 @@
     runs: list[toy.Run] = dataclasses.field(default_factory=list)
     # Services whose keys have owners.
     keyed: frozenset[str] = frozenset()
+    # The zone of each node.
     zones: dict[str, str] = dataclasses.field(default_factory=dict)
     # (shard, node, fencing token) of every committed assignment.
     committed: set[tuple[str, str, int]] = dataclasses.field(default_factory=set)
@@ -199,7 +200,7 @@
 
 
 def check_whole(history: History) -> list[Violation]:
-    """Find callers that received the answer to another request, or an incomplete one.
+    """Find callers that received the answer to another request.
 
     :param history: of a run.
     """
--- a/bench/stragglers.py
+++ b/bench/stragglers.py
@@ -21,6 +21,7 @@
 DEADLINE_S = 0.4
 # The 99th percentile with a straggler may be at most this multiple of the one without.
 BOUND = 1.5
+# Round-trip time between nodes of one zone.
 WITHIN_ZONE_S = 0.0003
 
 
@@ -43,7 +44,8 @@
     """The state of a node, and its target if it has one.
 
     ``in_flight`` and ``target_latencies`` hold its open requests and latencies for each target.
-    ``queued`` holds the requests that wait for admission to its own target.
+    ``queued`` holds the requests that wait for admission to its own target, each with a function
+    that is called with whether the request was admitted.
     """
 
     node: identity.NodeId
@@ -381,18 +383,18 @@
     started_at = loop.now
     cancel_actions: list[collections.abc.Callable[[], None]] = []
 
-    def leave(reply: limit.Reply) -> None:
-        wake = limit.release(
+    def release(reply: limit.Reply) -> None:
+        dequeued = limit.release(
             target, ticket, now=loop.now, latency_s=loop.now - started_at, reply=reply
         )
-        for queued_ticket in wake.expired:
+        for queued_ticket in dequeued.expired:
             target_node.queued.pop(queued_ticket)(False)
-        for queued_ticket in wake.run:
+        for queued_ticket in dequeued.run:
             target_node.queued.pop(queued_ticket)(True)
 
     def finish(has_run: bool) -> None:
         cancel_actions.clear()
-        leave(limit.Reply.OK if has_run else limit.Reply.SHED)
+        release(limit.Reply.OK if has_run else limit.Reply.SHED)
         done(has_run)
 
     def start(is_admitted: bool) -> None:
@@ -409,7 +411,7 @@
             del target_node.queued[ticket]
         elif cancel_actions:
             cancel_actions.pop()()
-            leave(limit.Reply.ABANDONED)
+            release(limit.Reply.ABANDONED)
 
     if answer.admission is limit.Admission.RUN:
         start(True)
@@ -425,11 +427,11 @@
     :param has_straggler: whether the first target slows down.
     """
     deployment = mesh.deployment
-    first = mesh.nodes[next(iter(mesh.members))].server
-    assert first is not None
+    server = mesh.nodes[next(iter(mesh.members))].server
+    assert server is not None
 
     def slow_down() -> None:
-        first.slowdown = SLOWDOWN
+        server.slowdown = SLOWDOWN
 
     if has_straggler:
         events.call_at(mesh.loop, START_S, slow_down)
--- a/bench/world.py
+++ b/bench/world.py
@@ -47,7 +47,8 @@
     """The size of a deployment.
 
     ``between_zones_s`` and ``from_callers_s`` are round-trip times in seconds, between nodes of
-    different zones and between a caller and a node.
+    different zones and between a caller and a node. ``keyed`` names the services whose requests
+    have keys, and ``slots`` is the concurrency of each target.
     """
 
     zones: list[str]
@@ -241,7 +242,7 @@
 
 
 def build_platform(world: World, source: str) -> platform.Platform:
-    """Return the table and the object store as one process reaches them.
+    """Return the table and the object store as one process uses them.
 
     Each call takes 1 ms; over a cut link it fails after 1 s.
 
@@ -251,6 +252,8 @@
     inner = platform.open_memory(world.memory)
 
     def guard(call: collections.abc.Callable[..., collections.abc.Awaitable[object]], loss: object):  # type: ignore[no-untyped-def]
+        """Return a function that makes a call, and returns ``loss`` if a link is cut."""
+
         async def run(*args: object) -> object:
             await wait_resumed(world, source)
             await trio.sleep(0.001)
@@ -358,7 +361,7 @@
         await self.inner.send_eof()
 
     async def aclose(self) -> None:
-        """Close the connection; over a cut or silent link, the other end is not told."""
+        """Close the connection; over a cut or silent link, the other end gets no notice."""
         link = (self.link.source, self.link.destination)
         if link in self.world.cut_links or self.link.is_silent:
             await trio.lowlevel.checkpoint()
@@ -404,6 +407,7 @@
         raise OSError(f"{address} refuses the connection")
     near, far = open_pair(world, source, owner)
     host = world.hosts[listener[0]]
+    # A target keeps its connections when its node is killed.
     killed = trio.Event() if is_target else host.killed
     world.nursery.start_soon(_serve_until, killed, listener[1], far)
     return near
@@ -525,7 +529,7 @@
         start_target(world, host)
         await start_node(world, host)
     with trio.fail_after(30):
-        # Polling costs nothing on a substituted clock.
+        # Polling costs nothing on a mock clock.
         while not is_converged(world):  # noqa: ASYNC110
             await trio.sleep(0.01)
 
@@ -675,7 +679,7 @@
 
 
 def is_converged(world: World) -> bool:
-    """Return whether every running node knows an owner of every shard that is serving it.
+    """Return whether every running node knows an owner of every shard, and the owners serve them.
 
     :param world: the mesh.
     """
@@ -760,7 +764,7 @@
 
 
 def count_owned(world: World) -> collections.Counter[identity.NodeId]:
-    """Return the number of shards that each live node serves.
+    """Return the number of shards that each running node holds.
 
     :param world: the mesh.
     """
--- a/src/ebonyvalve/process/accounting.py
+++ b/src/ebonyvalve/process/accounting.py
@@ -1,5 +1,8 @@
 """Measures the load of shards and finds hot keys, at the node that owns them.
 
+Load is measured in target seconds: for each request, the seconds from its sending to the target to
+the head of the reply, or until its deadline passed.
+
 Sums decay exponentially with time. Instead of reducing every sum at every request, later requests
 get a higher weight (forward decay): a request at time t adds its cost times
 exp((t - landmark) / DECAY_S), and a read divides by the same factor for the present time.
--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -174,12 +174,19 @@
 
 
 def _count_request(
-    node_metrics: metrics.Metrics, call: exchange.Call, ended: outcome.Outcome, seconds: float
+    node_metrics: metrics.Metrics,
+    call: exchange.Call,
+    call_outcome: outcome.Outcome,
+    seconds: float,
 ) -> None:
     # A request that arrived as a hop is counted at its origin.
     if not call.is_hop:
         metrics.count_request(
-            node_metrics, call.service, verdict=ended.verdict, reason=ended.reason, seconds=seconds
+            node_metrics,
+            call.service,
+            verdict=call_outcome.verdict,
+            reason=call_outcome.reason,
+            seconds=seconds,
         )
 
 
@@ -355,6 +362,7 @@
     """Run a node until cancelled.
 
     :param node: an assembled node.
+    :raises errors.InvariantError: if the node was not built by :func:`assemble`.
     """
     owned = node.owned
     if owned is None:
@@ -464,8 +472,9 @@
 ) -> tuple[network.Connect, network.Listen, ssl.SSLContext | None, ssl.SSLContext | None]:
     """Return functions that connect to other nodes and listen on private ports, and TLS contexts.
 
-    The contexts are the client's and the server's of the control channel. Without ``tls`` in the
-    settings they are ``None``, and the functions use plain TCP.
+    The contexts are the client's and the server's of the control channel. With ``tls`` in the
+    settings, both sides of every connection present certificates (mutual TLS). Without it, the
+    contexts are ``None`` and the functions use plain TCP.
     """
     if cfg.tls is None:
         return network.connect_tcp, network.listen_tcp, None, None
--- a/src/ebonyvalve/process/demo.py
+++ b/src/ebonyvalve/process/demo.py
@@ -35,7 +35,7 @@
 PARTITIONS = 64
 KEYS = 40
 REQUEST_PAUSE_S = 0.02
-READY_S = 10.0
+READY_TIMEOUT_S = 10.0
 PRINT_PERIOD_S = 2.0
 # Below Linux's default for ip_local_port_range, above the ports of well-known services.
 MIN_PORT = 10_000
@@ -224,8 +224,8 @@
 
 
 async def _wait_ready(mesh: Mesh) -> None:
-    """Wait until every partition has an owner that every node knows."""
-    with trio.move_on_after(READY_S):
+    """Wait until every node knows an owner of every partition, at most :data:`READY_TIMEOUT_S`."""
+    with trio.move_on_after(READY_TIMEOUT_S):
         for node in mesh.nodes:
             while _count_owned(node) < PARTITIONS:
                 await node.here.changed.wait()
--- a/src/ebonyvalve/process/handover.py
+++ b/src/ebonyvalve/process/handover.py
@@ -21,9 +21,9 @@
     await timer.wait_until(clock, max(ends, default=0.0))
     moved = []
     for shard in shards:
-        found = here.token_memories.get(shard)
-        if found is not None and not found.is_closed:
-            moved.append(token_memory.export_memory(found, here.now()))
+        memory = here.token_memories.get(shard)
+        if memory is not None and not memory.is_closed:
+            moved.append(token_memory.export_memory(memory, here.now()))
     forget(here, shards)
     return moved
 
@@ -38,11 +38,11 @@
     :param find_token_life: returns the life in seconds of a service's tokens.
     """
     for entry in moved:
-        held = here.read_node().holdings.get(entry.shard)
-        if held is None:
+        holding = here.read_node().holdings.get(entry.shard)
+        if holding is None:
             continue
         life_s = find_token_life(identity.split_shard(entry.shard)[0])
-        memory = site.find_memory(here, entry.shard, held.fence, life_s=life_s)
+        memory = site.find_memory(here, entry.shard, holding.fence, life_s=life_s)
         token_memory.import_memory(memory, entry, here.now())
 
 
@@ -84,9 +84,9 @@
     :param shards: shards that the node no longer holds, or holds without their former memory.
     """
     for shard in shards:
-        found = here.token_memories.pop(shard, None)
-        if found is not None:
-            token_memory.drop(found)
+        memory = here.token_memories.pop(shard, None)
+        if memory is not None:
+            token_memory.drop(memory)
         accounting.forget(here.account, shard)
 
 
--- a/src/ebonyvalve/process/message.py
+++ b/src/ebonyvalve/process/message.py
@@ -38,7 +38,7 @@
 
 
 class UsedToken(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """A used one-time token and the outcome of its request."""
+    """A used one-time token, the outcome of its request and the seconds since its use."""
 
     token: str
     verdict: str
@@ -77,7 +77,10 @@
 
 
 class Quarantined(msgspec.Struct, kw_only=True, array_like=True, frozen=True):
-    """The fingerprint of a request that was in flight when a target crashed."""
+    """The fingerprint of a request that was in flight when a target crashed.
+
+    Requests with this fingerprint are refused for another ``remaining_s`` seconds.
+    """
 
     fingerprint: identity.Fingerprint
     remaining_s: float
@@ -106,6 +109,7 @@
     # Whether the node holds shards that it serves again only after they are confirmed.
     is_suspended: bool = False
     loads: list[ShardLoad] = []
+    # Service, key and the key's share of its partition's load.
     hot_keys: list[tuple[identity.ServiceId, identity.KeyId, float]] = []
     new_quarantine: list[Quarantined] = []
 
--- a/src/ebonyvalve/process/platform.py
+++ b/src/ebonyvalve/process/platform.py
@@ -13,7 +13,8 @@
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
-    # No reply came in time. The write may have been applied; a read shows whether it was.
+    # The reply was lost, invalid or late. The write may have been applied; a read shows whether it
+    # was.
     UNKNOWN = "unknown"
 
 
@@ -82,7 +83,7 @@
     bodies: dict[str, bytes] = dataclasses.field(default_factory=dict)
     delay_s: float = 0.0
     is_down: bool = False
-    # Number of next commits that are applied but whose reply is lost.
+    # How many of the next commits are applied although their replies are lost.
     lost_replies: int = 0
     reads: int = 0
     commits: int = 0
@@ -155,7 +156,7 @@
         row = memory.rows.get(key, Row())
         memory.rows[key] = Row(value=value or b"", version=abs(row.version) + 1)
         if value is None:
-            # A deleted row keeps its version, negated, so that versions never repeat.
+            # A deleted row is kept with a negative version, so that versions never repeat.
             memory.rows[key] = Row(version=-(abs(row.version) + 1))
     return CommitState.COMMITTED
 
--- a/src/ebonyvalve/process/quarantine.py
+++ b/src/ebonyvalve/process/quarantine.py
@@ -121,10 +121,11 @@
 
 
 def _insert(state: Quarantine, fingerprint: identity.Fingerprint, until: float, now: float) -> None:
+    """Add or replace an entry; if the quarantine is full, drop the entry that ends first."""
     if fingerprint not in state.until and len(state.until) >= CAPACITY:
         forget(state, now)
         if len(state.until) >= CAPACITY:
-            first = min(state.until, key=lambda other: state.until[other])
-            del state.until[first]
-            state.unreported.discard(first)
+            earliest = min(state.until, key=lambda other: state.until[other])
+            del state.until[earliest]
+            state.unreported.discard(earliest)
     state.until[fingerprint] = until
--- a/src/ebonyvalve/process/remote.py
+++ b/src/ebonyvalve/process/remote.py
@@ -93,8 +93,9 @@
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
     """Faults to inject, which replace those in force.
 
-    ``delay_s`` delays every operation, ``is_down`` makes every operation fail, and ``lost_replies``
-    is the number of next commits whose reply is lost.
+    ``delay_s`` is the delay of every operation in seconds, and ``is_down`` makes every operation
+    fail. ``lost_replies`` is how many of the next commits are applied although their replies are
+    lost.
     """
 
     delay_s: float = 0.0
--- a/src/ebonyvalve/process/report.py
+++ b/src/ebonyvalve/process/report.py
@@ -182,7 +182,7 @@
 def render_explanation(explanation: Explanation) -> list[str]:
     """Return an explanation as lines of text.
 
-    :param found: the explanation.
+    :param explanation: the explanation.
     """
     lines = [f"key {explanation.key} of {explanation.service}, as node {explanation.node} sees it"]
     if explanation.shard is not None:
--- a/src/ebonyvalve/process/site.py
+++ b/src/ebonyvalve/process/site.py
@@ -256,7 +256,8 @@
     """
     now_s = site.now()
     if site.in_flight[site.node] <= 1:
-        # Abandoned requests don't show that the target is silent once nothing else is in flight.
+        # Abandoned requests don't show that the target is silent once nothing else is in flight. A
+        # request that is about to be sent is already counted as in flight itself.
         site.target.unanswered_since_s = site.target.last_reply_s
     unanswered_since_s = target.record_sent(site.target, now_s)
     end_s = min(site.read_node().lease_end_s, unanswered_since_s + lease.LEASE_S)
--- a/src/ebonyvalve/process/straggler.py
+++ b/src/ebonyvalve/process/straggler.py
@@ -7,14 +7,18 @@
 
 from ebonyvalve.process import identity
 
+# Weight of the latest reply in the moving average of a target's latency.
 MEAN_WEIGHT = 0.1
+# A target is slow while its mean latency exceeds this multiple of the median of the others.
 SLOW_FACTOR = 3.0
-# Consecutive replies after which a slow target becomes a straggler.
+# Consecutive replies with a slow mean after which a target becomes a straggler.
 SLOW_REPLIES = 20
+# A reply of a straggler is fast if its latency is at most this multiple of that median.
 RECOVERED_FACTOR = 2.0
-# Consecutive replies after which a straggler is used normally again.
+# Consecutive fast replies after which a straggler is used normally again.
 FAST_REPLIES = 5
-# A bypassed target still gets one in 50 of its requests, to detect its recovery.
+# A bypassed target still gets one in 50 of the requests that it would otherwise get, to detect its
+# recovery.
 PROBE_ONE_IN = 50
 # Bypassing more than this share of the targets would overload the others.
 MAX_BYPASSED = 0.5
@@ -108,6 +112,8 @@
 def is_bypassed(latencies: ServiceLatencies, node: identity.NodeId) -> bool:
     """Return whether a target is bypassed, so that it gets only one in 50 of its requests.
 
+    If more than :data:`MAX_BYPASSED` of the targets are stragglers, none is bypassed.
+
     :param latencies: the service's latencies.
     :param node: the node of the target.
     """
@@ -161,4 +167,5 @@
 
 
 def _new_histogram() -> histogram.HdrHistogram:
+    """Return a histogram for 1 µs to 60 s with two significant digits."""
     return histogram.HdrHistogram(1, 60_000_000, 2)
--- a/src/ebonyvalve/process/target.py
+++ b/src/ebonyvalve/process/target.py
@@ -8,7 +8,8 @@
 from ebonyvalve.process import decoding, identity
 
 # A probe costs about 6 ms (docs/design.md, section 1), so the target is probed only after it has
-# sent no reply for IDLE_PROBE_S; for STALL_S if requests are in flight or it is down.
+# sent no reply for IDLE_PROBE_S; for STALL_S if requests are in flight or it is down. After a
+# failed probe, the next one is due at once.
 STALL_S = 0.25
 IDLE_PROBE_S = 1.0
 PROBE_TIMEOUT_S = 0.1
--- a/src/ebonyvalve/process/token_memory.py
+++ b/src/ebonyvalve/process/token_memory.py
@@ -30,7 +30,8 @@
 class Record(msgspec.Struct, frozen=True, gc=False, kw_only=True):
     """Outcome of the request that used a token.
 
-    ``verdict`` is the value of a ``request.outcome.Verdict``.
+    ``verdict`` is the value of a ``request.outcome.Verdict``, and ``used_at`` the time of use in
+    seconds on the node's clock.
     """
 
     verdict: str
@@ -76,7 +77,8 @@
 class Memory:
     """Token memory of one shard.
 
-    ``used`` is ordered by the time of use.
+    ``used`` holds the tokens whose requests have ended, ordered by the time of use, and ``running``
+    those whose requests have not. A token is valid for ``life_s`` seconds.
     """
 
     shard: identity.ShardId
--- a/src/ebonyvalve/process/toy.py
+++ b/src/ebonyvalve/process/toy.py
@@ -31,7 +31,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Run:
-    """One execution of a request at the target. Times are in seconds on the target's clock."""
+    """One execution of a request at the target. Times are in seconds on the target's clock.
+
+    ``fence`` has the form ``SHARD:TOKEN``, as in the header; it is empty without the header.
+    """
 
     node: identity.NodeId
     key: str
@@ -56,6 +59,8 @@
 class Toy:
     """The state of one toy target.
 
+    Each request occupies a slot for ``service_time_s`` seconds.
+
     A request whose path contains ``crash_on`` crashes the target. ``fences`` holds the highest
     fencing token seen for each shard, ``running`` the number of requests in progress and
     ``max_running`` its maximum. ``overloads`` counts the requests that started while the target was
--- a/src/ebonyvalve/standin/metadata.py
+++ b/src/ebonyvalve/standin/metadata.py
@@ -12,6 +12,7 @@
 
 from ebonyvalve.process import http
 
+# Table, part and key.
 RowKey = tuple[str, str, str]
 PAGE_ROWS = 500
 MAX_ENTRIES = 100
@@ -94,9 +95,9 @@
     """Write a row directly, as the platform's operator does.
 
     :param state: the store.
-    :param table: its table.
-    :param key: its key.
-    :param value: its value, or ``None`` to remove it.
+    :param table: the table of the row.
+    :param key: the key of the row; its part is empty.
+    :param value: the value to write, or ``None`` to remove the row.
     """
     state.version += 1
     _write(state, (table, "", key), value)
@@ -115,6 +116,8 @@
 def build_respond(state: Metadata, caller: str) -> http.Respond:
     """Return a function that answers the HTTP calls of one caller.
 
+    It returns ``None`` to close the connection without an answer.
+
     :param state: the store.
     :param caller: name of the caller, for :attr:`Metadata.faults`.
     """
@@ -189,16 +192,16 @@
 def _get(state: Metadata, parameters: dict[str, str]) -> http.Reply:
     table, part = parameters["table"], parameters.get("part", "")
     limit = min(int(parameters.get("limit", PAGE_ROWS)), PAGE_ROWS)
-    names = sorted(
-        name
-        for name, entry in state.rows.items()
-        if name[:2] == (table, part)
+    row_keys = sorted(
+        row_key
+        for row_key, entry in state.rows.items()
+        if row_key[:2] == (table, part)
         and entry.value is not None
-        and parameters.get("from", "") <= name[2]
-        and ("to" not in parameters or name[2] < parameters["to"])
+        and parameters.get("from", "") <= row_key[2]
+        and ("to" not in parameters or row_key[2] < parameters["to"])
     )
-    rows = [_encode_row(state, name) for name in names[:limit]]
-    return _reply(state, 200, rows, has_more=len(names) > limit)
+    rows = [_encode_row(state, row_key) for row_key in row_keys[:limit]]
+    return _reply(state, 200, rows, has_more=len(row_keys) > limit)
 
 
 async def _feed(state: Metadata, parameters: dict[str, str]) -> http.Reply:
@@ -208,29 +211,31 @@
             await state.changed.wait()
     if after < state.oldest:
         return _reply(state, 410, [])
-    names = _list_changed(state, table, after)
-    return _reply(state, 200, [_encode_row(state, name) for name in names])
+    row_keys = _list_changed(state, table, after)
+    return _reply(state, 200, [_encode_row(state, row_key) for row_key in row_keys])
 
 
 def _list_changed(state: Metadata, table: str, after: int) -> list[RowKey]:
     latest_versions = {
-        name: version for version, name in state.log if version > after and name[0] == table
+        row_key: version
+        for version, row_key in state.log
+        if version > after and row_key[0] == table
     }
-    return sorted(latest_versions, key=lambda name: (latest_versions[name], name))
+    return sorted(latest_versions, key=lambda row_key: (latest_versions[row_key], row_key))
 
 
 def _build_row_key(place: WirePlace) -> RowKey:
     return place.table, place.part, place.key
 
 
-def _read_version(state: Metadata, name: RowKey) -> int:
-    entry = state.rows.get(name)
+def _read_version(state: Metadata, row_key: RowKey) -> int:
+    entry = state.rows.get(row_key)
     return 0 if entry is None or entry.value is None else entry.version
 
 
-def _write(state: Metadata, name: RowKey, value: bytes | None) -> None:
-    state.rows[name] = Entry(value=value, version=state.version)
-    state.log.append((state.version, name))
+def _write(state: Metadata, row_key: RowKey, value: bytes | None) -> None:
+    state.rows[row_key] = Entry(value=value, version=state.version)
+    state.log.append((state.version, row_key))
 
 
 def _notify_changed(state: Metadata) -> None:
@@ -238,9 +243,9 @@
     state.changed = trio.Event()
 
 
-def _encode_row(state: Metadata, name: RowKey) -> dict[str, object]:
-    table, part, key = name
-    entry = state.rows.get(name)
+def _encode_row(state: Metadata, row_key: RowKey) -> dict[str, object]:
+    table, part, key = row_key
+    entry = state.rows.get(row_key)
     if entry is None:
         return {"table": table, "part": part, "key": key, "ver": 0}
     row: dict[str, object] = {"table": table, "part": part, "key": key, "ver": entry.version}
--- a/src/ebonyvalve/standin/target.py
+++ b/src/ebonyvalve/standin/target.py
@@ -20,7 +20,9 @@
     """The state of a target.
 
     ``holds`` lists the granted ranges of key slots as first, last and fencing token, which are
-    valid until the time ``until`` in seconds; ``released`` lists those to report as released.
+    valid until the time ``until`` in seconds; ``released`` lists those to report as released, their
+    tokens as texts. A request takes ``work_s`` seconds, and a status report is sent every
+    ``heartbeat_s`` seconds.
     ``received_ids`` lists the ids of the requests received, ``budgets_ms`` their remaining time in
     milliseconds, and ``completed_ids`` the ids of the requests completed. ``callers`` lists the
     services that called, and ``dropped`` counts the requests dropped because their connection
@@ -118,8 +120,8 @@
 def _may_run(target: Target, headers: dict[str, str]) -> bool:
     if not target.is_keyed:
         return True
-    slot = int(headers.get("x-shard-key", "-1"))
-    is_held = any(first <= slot <= last for first, last, _ in target.holds)
+    key_slot = int(headers.get("x-shard-key", "-1"))
+    is_held = any(first <= key_slot <= last for first, last, _ in target.holds)
     return is_held and trio.current_time() < target.until
 
 
@@ -144,6 +146,7 @@
         is_pending = False
         if isinstance(reply, result.Success) and reply.unwrap().status == SERVED:
             is_pending = _apply_reply(target, msgspec.json.decode(reply.unwrap().body), sent_at)
+        # Released ranges are reported soon, so that they can be granted to another target.
         await trio.sleep(0.1 if is_pending else target.heartbeat_s)
 
 
