--- a/bench/stragglers.py
+++ b/bench/stragglers.py
@@ -13,7 +13,9 @@
 
 SERVICE = identity.ServiceId("service")
 NODES = 14
+# Mean service time.
 MEAN_S = 0.005
+# Share of the capacity of all targets.
 LOAD = 0.5
 START_S = 3.0
 END_S = 13.0
--- a/bench/world.py
+++ b/bench/world.py
@@ -89,10 +89,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Host:
-    """One VM: a node and the target beside it.
+    """One VM: a node and its local target.
 
-    ``scope`` cancels the running node. ``killed`` is set when the node is killed. ``resumed`` is
-    present while the node is paused, and set when it resumes.
+    ``incarnation`` counts the starts of the node and of the target. ``scope`` cancels the running
+    node. ``killed`` is set when the node is killed. ``resumed`` is present while the node is
+    paused, and set when it resumes.
     """
 
     cfg: settings.Settings
@@ -109,7 +110,8 @@
     """The state of all fakes.
 
     ``cut_links`` holds one-way links that lose everything; their ends are node ids,
-    :data:`CALLERS` and :data:`STORE`.
+    :data:`CALLERS` and :data:`STORE`. ``listeners`` and ``handlers`` hold by address what serves
+    connections and control messages, with the node.
     """
 
     shape: Shape
--- a/src/ebonyvalve/process/budget.py
+++ b/src/ebonyvalve/process/budget.py
@@ -12,7 +12,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Budget:
-    """Token bucket to which each request adds ``share`` of an extra attempt."""
+    """Token bucket to which each request adds ``share`` of an extra attempt.
+
+    ``level`` is the number of extra attempts that it holds, and ``burst`` the maximum.
+    """
 
     share: float
     burst: float = BURST
--- a/src/ebonyvalve/process/daemon.py
+++ b/src/ebonyvalve/process/daemon.py
@@ -91,8 +91,8 @@
     """An assembled node.
 
     ``snapshot``, ``shards`` and ``place`` are derived from the configuration in force; ``snapshot``
-    and ``place`` are ``None`` before the first one. ``placing`` keeps the state of placement when
-    the configuration changes.
+    and ``place`` are ``None`` before the first one. ``place`` plans which shards are split, merged
+    and moved. ``placing`` keeps the state of placement when the configuration changes.
     """
 
     cfg: settings.Settings
--- a/src/ebonyvalve/process/message.py
+++ b/src/ebonyvalve/process/message.py
@@ -147,6 +147,8 @@
 class Follow(msgspec.Struct, kw_only=True, array_like=True, tag=5):
     """A new coordinator's request to follow its term and to report the held shards.
 
+    ``address`` is where the coordinator takes control messages.
+
     ``sequence`` numbers a coordinator's ``Follow``, ``Revoke`` and ``Grant`` messages within its
     term; a node refuses one that arrives after a later one. ``incarnation`` in ``Revoke`` and
     ``Grant`` names the process that the message is meant for, because a restarted node has lost the
--- a/src/ebonyvalve/process/platform.py
+++ b/src/ebonyvalve/process/platform.py
@@ -37,7 +37,9 @@
 RowsResult = result.Result[dict[str, Row], StoreFailure]
 BodyResult = result.Result[bytes, StoreFailure]
 PutResult = result.Result[None, StoreFailure]
+# The version that the row of each key must have; 0 for a missing row.
 Expected = dict[str, int]
+# The new value of each key; ``None`` deletes the row.
 Writes = dict[str, bytes | None]
 
 
--- a/src/ebonyvalve/process/toy.py
+++ b/src/ebonyvalve/process/toy.py
@@ -59,12 +59,11 @@
 class Toy:
     """The state of one toy target.
 
-    Each request occupies a slot for ``service_time_s`` seconds.
-
-    A request whose path contains ``crash_on`` crashes the target. ``fences`` holds the highest
-    fencing token seen for each shard, ``running`` the number of requests in progress and
-    ``max_running`` its maximum. ``overloads`` counts the requests that started while the target was
-    beyond its capacity; see :func:`read_capacity`.
+    Each request occupies a slot for ``service_time_s`` seconds. A request whose path contains
+    ``crash_on`` crashes the target. ``fences`` holds the highest fencing token seen for each shard,
+    ``running`` the number of requests in progress and ``max_running`` its maximum. ``overloads``
+    counts the requests that started while the target was beyond its capacity; see
+    :func:`read_capacity`.
     """
 
     node: identity.NodeId
@@ -181,6 +180,7 @@
     return toy.state is ToyState.UP
 
 
+# Status, headers and body.
 Answer = tuple[int, list[tuple[bytes, bytes]], bytes]
 
 
