--- a/src/ebonyvalve/process/platform.py
+++ b/src/ebonyvalve/process/platform.py
@@ -13,7 +13,8 @@
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
-    # No reply came in time. The write may have been applied; a read shows whether it was.
+    # The reply was lost, invalid or late. The write may have been applied; a read shows whether it
+    # was.
     UNKNOWN = "unknown"
 
 
@@ -36,7 +37,9 @@
 RowsResult = result.Result[dict[str, Row], StoreFailure]
 BodyResult = result.Result[bytes, StoreFailure]
 PutResult = result.Result[None, StoreFailure]
+# The version that the row of each key must have; 0 for a missing row.
 Expected = dict[str, int]
+# The new value of each key; ``None`` deletes the row.
 Writes = dict[str, bytes | None]
 
 
@@ -82,7 +85,7 @@
     bodies: dict[str, bytes] = dataclasses.field(default_factory=dict)
     delay_s: float = 0.0
     is_down: bool = False
-    # Number of next commits that are applied but whose reply is lost.
+    # How many of the next commits are applied although their replies are lost.
     lost_replies: int = 0
     reads: int = 0
     commits: int = 0
@@ -155,7 +158,7 @@
         row = memory.rows.get(key, Row())
         memory.rows[key] = Row(value=value or b"", version=abs(row.version) + 1)
         if value is None:
-            # A deleted row keeps its version, negated, so that versions never repeat.
+            # A deleted row is kept with a negative version, so that versions never repeat.
             memory.rows[key] = Row(version=-(abs(row.version) + 1))
     return CommitState.COMMITTED
 
