--- a/src/ebonyvalve/process/http.py
+++ b/src/ebonyvalve/process/http.py
@@ -126,7 +126,7 @@
     """Send a complete message in one write.
 
     :param stream: the connection.
-    :param http: its protocol state.
+    :param protocol: its protocol state.
     :param head: the head, which states the length of the body.
     :param body: the complete body.
     """
@@ -183,7 +183,7 @@
     """Read a complete message; the head is ``None`` if the connection ended before it.
 
     :param stream: the connection.
-    :param http: its protocol state.
+    :param protocol: its protocol state.
     :param max_bytes: maximum length of the body in bytes.
     :raises h11.RemoteProtocolError: if the message is malformed, cut off or too large.
     """
